--- a/src/balancer/actions.hpp
+++ b/src/balancer/actions.hpp
@@ -1,4 +1,4 @@
-// How the balancer acts on its surroundings.
+// The interface through which the balancer acts on its environment.
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 
 namespace cherryrail {
 
-// Implemented by the relay on sockets and by the simulator's adapter. The balancer has no other way to act;
-// each call returns at once, and what comes of it is reported to the balancer later.
+// Implemented by the relay on sockets and by the simulator's adapter. The balancer has no other side effects.
+// No call blocks; results are reported to the balancer later through its on_...() functions.
 class BalancerActions {
  public:
   BalancerActions() = default;
@@ -19,23 +19,24 @@
   virtual ~BalancerActions() = default;
 
   virtual Micros now() const = 0;
-  // How far the system's wall clock, by which other machines state times, has been stepped since the start.
+  // How far the system's wall clock has been stepped since this process started. Other machines report times
+  // by the wall clock.
   virtual Micros wall_clock_step() const { return 0; }
-  // Sends the session's open request to a backend and gives it up after `timeout`.
+  // Sends the session's open request to a backend; the attempt times out after `timeout`.
   virtual void start_attempt(Session& session, Backend& backend, Micros timeout) = 0;
-  // Ends the attempt that is under way: nobody waits for it any longer.
+  // Cancels the session's attempt under way, whose result is no longer needed.
   virtual void cancel_attempt(Session& session) = 0;
-  // The two negative final answers: nothing has happened (come again after `retry_after`; 0: no advice), and
-  // failed.
+  // The two negative final answers. Rejected: nothing has taken effect or a repeat does no harm, and the
+  // client may retry after `retry_after` (0: not stated). Failed: an attempt may have taken effect.
   virtual void reject_session(Session& session, Micros retry_after) = 0;
   virtual void fail_session(Session& session) = 0;
-  // Tells the client of an established session to connect anew.
+  // Tells the client of an established session to reconnect.
   virtual void migrate_session(Session& session) = 0;
   virtual void check_health(Backend& backend) = 0;
-  // Asks discovery for the endpoint list and for what changes in it.
+  // Requests the endpoint list and its changes from discovery.
   virtual void watch_endpoints() = 0;
-  // Calls `callback` once the clock shows `when`. Timers cannot be cancelled: the callbacks check whether
-  // they are still wanted.
+  // Calls `callback` once now() reaches `when`. Timers cannot be cancelled, so each callback checks whether
+  // it still applies.
   virtual void call_at(Micros when, std::function<void()> callback) = 0;
   virtual void log(const std::string& line) = 0;
 };
--- a/src/balancer/arrivals.hpp
+++ b/src/balancer/arrivals.hpp
@@ -1,4 +1,4 @@
-// Counts of the sessions that have asked to be admitted.
+// Counts the sessions that arrive at this relay.
 #pragma once
 
 #include <algorithm>
@@ -17,12 +17,12 @@
   void record_new_session() { ++new_sessions_; }
   void record_reconnect(Micros now) { reconnects_.add(now, 1); }
 
-  // New sessions a microsecond since this relay, or the first of its predecessors, started; `grace` is added
-  // to that time, so that a young relay does not overrate its first sessions.
+  // New sessions per microsecond since this relay, or the first of its predecessors, started. `grace` is
+  // added to that time, so that the rate is not overestimated just after the start.
   double new_session_rate(Micros now, Micros grace) const {
     return static_cast<double>(new_sessions_) / static_cast<double>(now - counted_since_ + grace);
   }
-  // Reconnecting sessions in the latest `seconds`, at most eight.
+  // Reconnecting sessions within the last `seconds`, at most eight.
   double recent_reconnects(Micros now, std::int64_t seconds) const { return reconnects_.sum(now, seconds); }
 
   void save(StateSnapshot& snapshot) const {
--- a/src/balancer/attempt_statistics.cpp
+++ b/src/balancer/attempt_statistics.cpp
@@ -13,7 +13,7 @@
 }
 
 void AttemptStatistics::record_duration(Micros duration) {
-  ended_.add(actions_.now(), 1);
+  ended_attempts_.add(actions_.now(), 1);
   durations_.add(actions_.now(), static_cast<double>(duration));
 }
 
@@ -24,7 +24,7 @@
 double AttemptStatistics::retries() const { return retries_.sum(actions_.now()); }
 
 double AttemptStatistics::mean_duration(double factor) const {
-  const double ended = ended_.sum(actions_.now());
+  const double ended = ended_attempts_.sum(actions_.now());
   return ended > 0 ? factor * durations_.sum(actions_.now()) / ended : 0;
 }
 
--- a/src/balancer/attempt_statistics.hpp
+++ b/src/balancer/attempt_statistics.hpp
@@ -1,4 +1,4 @@
-// Counts of admissions, retries and attempts, and how long attempts take.
+// Statistics on admissions, retries and the duration of attempts, used by RetryPolicy.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace cherryrail {
 
-// Counted, for RetryPolicy to decide by. Admissions are counted a little shorter than the retry budget's
-// window and retries a little longer, so that the budget errs on the safe side.
+// Admissions are counted over slightly less than the retry budget's window and retries over slightly more, so
+// that inexact windows never allow more retries than the budget.
 class AttemptStatistics {
  public:
   AttemptStatistics(const BalancerActions& actions, const BalancerParameters& parameters)
@@ -18,16 +18,16 @@
         retries_(parameters.retry_budget_window / kRetryBucketsPerWindow) {}
 
   void record_admission();
-  // The attempt that the session has just begun.
+  // Records the attempt that the session has just started.
   void record_attempt(const Session& session);
-  // The session's latest attempt was never sent: if it was a retry, it is back in the budget.
+  // The session's latest attempt was never sent; if it was a retry, it no longer counts against the budget.
   void return_attempt(const Session& session);
   void record_duration(Micros duration);
 
-  // Within the retry budget's window.
+  // Counts within the retry budget's window.
   double admissions() const;
   double retries() const;
-  // `factor` times the mean of the latest eight seconds, in microseconds; 0 where no attempt ended.
+  // `factor` times the mean duration over the last eight seconds, in microseconds; 0 if no attempt ended.
   double mean_duration(double factor) const;
 
   void save(StateSnapshot& snapshot) const { snapshot.recent_retries = retries(); }
@@ -36,12 +36,12 @@
  private:
   static constexpr Micros kAdmissionBucketsPerWindow = 63;
   static constexpr std::int64_t kAdmissionBucketsCounted = 62;
-  static constexpr Micros kRetryBucketsPerWindow = 62;  // and all 64 are counted
+  static constexpr Micros kRetryBucketsPerWindow = 62;  // while all 64 are counted
 
   const BalancerActions& actions_;
   SlidingWindowOf<64> admissions_;
   SlidingWindowOf<64> retries_;
-  SlidingWindow ended_{kSecond};
+  SlidingWindow ended_attempts_{kSecond};
   SlidingWindow durations_{kSecond};
 };
 
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -13,13 +13,13 @@
   health_checks_.run();
 }
 
-void Balancer::update_endpoint(const std::shared_ptr<Backend>& backend, EndpointState state, double size,
-                               Micros started_at, Micros current_until) {
-  if (fleet_.has_restarted(*backend, started_at)) forget_failures(*backend);
+void Balancer::update_endpoint(const std::shared_ptr<Backend>& backend, EndpointState state,
+                               double relative_capacity, Micros started_at, Micros current_until) {
+  if (fleet_.has_restarted(*backend, started_at)) reset_failure_state(*backend);
   const Micros now = actions_.now();
   const Micros local_start = local_start_time(started_at, actions_.wall_clock_step(), now);
   const BackendStart start{started_at, local_start_time_of_news(local_start, current_until, now)};
-  fleet_.record_endpoint(backend, state, size, start, now);
+  fleet_.record_endpoint(backend, state, relative_capacity, start, now);
   update_state(*backend);
   fleet_.erase_if_gone(backend);
 }
@@ -32,7 +32,7 @@
   migration_.migrate_all(backend, is_disabled ? "is disabled" : reported);
 }
 
-void Balancer::forget_failures(Backend& backend) {
+void Balancer::reset_failure_state(Backend& backend) {
   backend.outlier.reset();
   backend.capacity.remove();
   backend.latency.end_penalty(actions_.now());
@@ -45,10 +45,11 @@
   if (is_disabled) {
     backend.disabled_at = actions_.now();
   } else {
-    // It was most likely restarted meanwhile: it warms up, unless discovery told of a start since.
+    // The backend was most likely restarted while disabled: it warms up from now on, unless discovery has
+    // reported a start since it was disabled.
     if (backend.slow_start.started_at() < backend.disabled_at)
       backend.slow_start.set_started_at(actions_.now());
-    forget_failures(backend);
+    reset_failure_state(backend);
   }
   update_state(backend);
 }
@@ -63,9 +64,9 @@
   }
   if (session->client_key == 0) session->client_key = random_.key();
   session->hash_key = hash_key_of(*session);
-  // Whatever else goes wrong, the client hears from us before it stops waiting.
+  // Guarantees an answer before the client's timeout, whatever happens to the attempts.
   actions_.call_at(session->deadline - parameters_.answer_margin, [this, weak = session->weak_from_this()] {
-    if (const auto late = weak.lock()) give_up(*late);
+    if (const auto unanswered = weak.lock()) give_up(*unanswered);
   });
   place(*session);
 }
@@ -94,11 +95,11 @@
   if (!is_possible || !start_attempt(session, *session.pinned_backend)) give_up(session);
 }
 
-// An attempt that cannot have reached the backend is none of those that a session may have.
 void Balancer::retry_at_pinned_backend(Session& session, AttemptResult result) {
   ++session.pinned_failures;
-  const bool has_arrived = result != AttemptResult::connect_failed && result != AttemptResult::not_sent;
-  if (!has_arrived) --session.attempts;
+  const bool may_have_reached_backend =
+      result != AttemptResult::connect_failed && result != AttemptResult::not_sent;
+  if (!may_have_reached_backend) --session.attempts;
   if (rules_.refuse_attempt(session, *session.pinned_backend) != Refusal::none) {
     give_up(session);
     return;
@@ -112,7 +113,7 @@
 
 bool Balancer::start_attempt(Session& session, Backend& backend) {
   if (rules_.refuse_attempt(session, backend) != Refusal::none) return false;
-  // A pinned session is no new load: the backend has held it.
+  // A pinned session is not new load: the backend already held it.
   const bool is_pinned = session.pinned_backend != nullptr;
   if (!is_pinned && !slow_start_.may_admit(session, backend, placement_.fleet_load())) return false;
   session.attempt_started_at = actions_.now();
@@ -144,12 +145,14 @@
 }
 
 void Balancer::on_attempt_failed(Session& session, Backend& backend, const AttemptOutcome& outcome) {
-  const bool is_unsent_retry = session.pinned_backend && outcome.result == AttemptResult::connect_failed;
-  if (is_unsent_retry || outcome.result == AttemptResult::not_sent) attempts_.return_attempt(session);
-  // What fails on a late path speaks against no backend, nor what fails while all sessions are restored at
-  // once.
-  const bool is_telling = penalties_.path_latency(backend) == 0 && !session.pinned_backend;
-  if (is_telling) record_failed_attempt(backend, outcome);
+  const bool is_unsent_pinned_attempt =
+      session.pinned_backend && outcome.result == AttemptResult::connect_failed;
+  if (is_unsent_pinned_attempt || outcome.result == AttemptResult::not_sent)
+    attempts_.return_attempt(session);
+  // Failures over a slow network path say nothing about the backend. Nor do those of pinned sessions, which
+  // are restored all at once.
+  const bool counts_against_backend = penalties_.path_latency(backend) == 0 && !session.pinned_backend;
+  if (counts_against_backend) record_failed_attempt(backend, outcome);
   if (may_have_run(outcome.result) && session.may_have_run_on == nullptr) {
     session.may_have_run_on = &backend;
     session.may_have_run_since = session.attempt_started_at;
@@ -167,7 +170,8 @@
   if (outcome.result == AttemptResult::reset) capacity_.record_drop(backend);
   if (outcome.result == AttemptResult::timed_out) {
     capacity_.reduce(backend, 1);
-    attempts_.record_duration(2 * outcome.duration);  // it takes longer than it was given
+    // The attempt would have taken longer than its timeout.
+    attempts_.record_duration(2 * outcome.duration);
   }
   const bool is_failure =
       outcome.result != AttemptResult::not_sent && outcome.result != AttemptResult::cancelled;
@@ -177,21 +181,21 @@
 void Balancer::on_established(Session& session, Micros duration) {
   if (session.is_answered || session.backend == nullptr) return;
   Backend& backend = *session.backend;
-  const bool is_telling = penalties_.path_latency(backend) == 0 && !session.pinned_backend;
-  if (is_telling) attempts_.record_duration(duration);
+  const bool is_representative = penalties_.path_latency(backend) == 0 && !session.pinned_backend;
+  if (is_representative) attempts_.record_duration(duration);
   backend.outlier.record_response(actions_.now());
   outliers_.record_outcome(backend, true);
-  keep_established(session);
+  record_established(session);
 }
 
 void Balancer::adopt(const std::shared_ptr<Session>& session, const std::shared_ptr<Backend>& backend) {
   session->hash_key = hash_key_of(*session);
   fleet_.attach(*session, *backend, actions_.now());
-  keep_established(*session);
+  record_established(*session);
 }
 
-void Balancer::keep_established(Session& session) {
-  answer(session, FinalAnswer::established);
+void Balancer::record_established(Session& session) {
+  send_final_answer(session, FinalAnswer::established);
   fleet_.mark_established(session);
   session.on_backend_ended = [this, backend = session.backend.get()](const AttemptOutcome& outcome) {
     on_established_session_ended(*backend, outcome);
@@ -204,11 +208,11 @@
 void Balancer::on_established_session_ended(Backend& backend, const AttemptOutcome& outcome) {
   if (outcome.result != AttemptResult::reset || backend.state != EndpointState::ready) return;
   capacity_.record_drop(backend);
-  // All lost in one moment is a broken link or process: that tells nothing of its capacity.
+  // Losing all sessions at once means a broken link or process and says nothing about the capacity.
   const auto is_established = [](const Session* held) { return held->is_established; };
   const bool lost_all = std::ranges::none_of(backend.sessions, is_established);
-  const Micros moment = parameters_.shortest_attempt_objective / 10;
-  if (lost_all && capacity_.was_reduced_within(backend, moment)) backend.capacity.remove();
+  const Micros simultaneous_within = parameters_.shortest_attempt_objective / 10;
+  if (lost_all && capacity_.was_reduced_within(backend, simultaneous_within)) backend.capacity.remove();
   outliers_.record_outcome(backend, false);
 }
 
@@ -216,10 +220,10 @@
   if (rules_.refuse_answer(session) != Refusal::none) return;
   if (session.backend != nullptr && may_cancel_attempts()) actions_.cancel_attempt(session);
   const bool is_harmless = retry_policy_.is_rejection_harmless(session);
-  answer(session, is_harmless ? FinalAnswer::rejected : FinalAnswer::failed);
+  send_final_answer(session, is_harmless ? FinalAnswer::rejected : FinalAnswer::failed);
 }
 
-void Balancer::answer(Session& session, FinalAnswer final_answer) {
+void Balancer::send_final_answer(Session& session, FinalAnswer final_answer) {
   if (rules_.refuse_answer(session) != Refusal::none) return;
   session.is_answered = true;
   if (final_answer == FinalAnswer::failed) actions_.fail_session(session);
@@ -232,14 +236,16 @@
                                      const LoadReport& report) {
   backend.health_check.end();
   load_shedder_.record_load_report(backend, report);
-  if (outcome.result == AttemptResult::rejected) return;  // too many health checks there: says nothing
+  // The backend has too many health checks to answer, which says nothing about its health.
+  if (outcome.result == AttemptResult::rejected) return;
   const bool is_success = outcome.result == AttemptResult::succeeded;
   if (is_success)
     backend.outlier.record_response(actions_.now());
   else
     outliers_.record_no_response(backend);
-  // A health check shows that the process can be reached, not that it serves. That counts for a backend
-  // ejected as unresponsive; for one that failed what it got, it only allows the next attempt.
+  // A successful health check shows that the process is reachable, not that it can serve sessions. It counts
+  // as a recovery success only for a backend ejected as unresponsive; for a backend ejected for failed
+  // attempts, it only allows the next attempt.
   if (is_success && backend.outlier.is_ejected() && !backend.outlier.is_unresponsive())
     backend.outlier.allow_recovery_attempt(actions_.now());
   else
@@ -254,7 +260,7 @@
 
 void Balancer::on_message_latency_reported(Session& session, Micros latency) {
   if (session.backend == nullptr) return;
-  const auto backend = session.backend;  // a migration may end the session meanwhile
+  const auto backend = session.backend;  // a copy: a migration may end the session in this function
   backend->outlier.record_response(actions_.now());
   latency_outliers_.record_message_latency(*backend, latency);
   if (backend->latency.penalty().is_active(actions_.now())) return;
--- a/src/balancer/balancer.hpp
+++ b/src/balancer/balancer.hpp
@@ -1,4 +1,4 @@
-// The balancer: takes events, and walks each session from its admission to its final answer.
+// The balancer: handles events and takes each session from its admission to its final answer.
 #pragma once
 
 #include <cstdint>
@@ -30,13 +30,13 @@
 
 namespace cherryrail {
 
-// Its callers (the relay on sockets, the simulator's adapter) report what happens; it acts through
-// BalancerActions alone. It does no I/O and has no clock of its own, and it makes the same decisions from the
-// same events and seed.
+// Event-driven and deterministic: callers (the relay on sockets, the simulator's adapter) report events, and
+// the balancer acts only through BalancerActions. It does no I/O and has no clock of its own; the same events
+// and the same seed give the same decisions.
 //
-// What holds for every session: one final answer before the client's timeout, and none after; never two
-// attempts at once; none at a backend that is told to drain or is gone; none that could take effect a second
-// time.
+// Guarantees for every session: exactly one final answer, sent before the client's timeout unless the client
+// has left; at most one attempt at a time; no attempt at a backend that is draining, disabled or gone; no
+// attempt that could take effect a second time.
 class Balancer {
  public:
   Balancer(BalancerActions& actions, const BalancerConfig& config, std::uint64_t seed);
@@ -45,56 +45,58 @@
   bool may_cancel_attempts() const { return parameters_.may_cancel_attempts; }
   bool is_shutting_down() const { return placement_.is_stopped(); }
 
-  // The endpoint list. The caller makes one Backend for each name and then changes it only through these.
-  // `size` is the capacity relative to other backends, `started_at` the backend's latest start by the wall
-  // clock (0: long ago), `current_until` when the endpoint list was last known to be current before (0:
-  // never).
-  void update_endpoint(const std::shared_ptr<Backend>& backend, EndpointState state, double size,
+  // Endpoint list. The caller creates one Backend per name and afterwards changes it only through these
+  // functions. `relative_capacity` is the capacity compared with other backends, `started_at` the backend's
+  // latest start by the wall clock (0: long ago), and `current_until` the time at which the previous endpoint
+  // list was last known to be current (0: never).
+  void update_endpoint(const std::shared_ptr<Backend>& backend, EndpointState state, double relative_capacity,
                        Micros started_at, Micros current_until = 0);
   void set_disabled(Backend& backend, bool is_disabled);
-  // A list has been read to its end.
+  // A complete endpoint list has been received.
   void on_endpoints_updated() { endpoint_list_refresh_.on_updated(); }
-  // Discovery could not be asked, or its watch ended; it is asked again after `longest` at the latest.
-  void on_discovery_failed(Micros longest = std::numeric_limits<Micros>::max()) {
-    endpoint_list_refresh_.on_failed(longest);
+  // Discovery could not be reached, or its watch ended. The next watch starts within `max_delay`.
+  void on_discovery_failed(Micros max_delay = std::numeric_limits<Micros>::max()) {
+    endpoint_list_refresh_.on_failed(max_delay);
   }
 
-  // A session's life.
+  // Session lifecycle. admit() places a new or reconnecting session at a backend.
   void admit(const std::shared_ptr<Session>& session);
-  // Takes over a session that is established at the backend already.
+  // Registers a session that is already established at the backend.
   void adopt(const std::shared_ptr<Session>& session, const std::shared_ptr<Backend>& backend);
-  // Asked again before the first byte of an attempt leaves: its connection may have been long in coming up,
-  // and what allowed the attempt may have ended meanwhile.
+  // Called again just before the first byte of an attempt is sent: connecting may have taken long, and the
+  // conditions that allowed the attempt may no longer hold.
   Refusal refuse_request(const Session& session, const Backend& backend) const {
     return rules_.refuse_request(session, backend);
   }
+  // The backend accepted the session, `duration` after the attempt started.
   void on_established(Session& session, Micros duration);
-  // The attempt or the established session ended at its backend; `is_finished` if the session ended with it.
+  // The attempt or the established session ended at its backend. `is_finished` is true if the whole session
+  // ended with it.
   void on_attempt_ended(Session& session, const AttemptOutcome& outcome, bool is_finished,
                         const LoadReport& report);
   void on_client_left(Session& session) { session.is_answered = true; }
-  // Ends the attempt of a session without a final answer, and gives it a negative one: rejected where that is
-  // true (nothing happened, or doing it again does no harm), else failed.
+  // If the session has no final answer yet, cancels its attempt (where allowed) and sends a negative answer:
+  // rejected if nothing has taken effect or a repeat does no harm, failed otherwise.
   void give_up(Session& session);
 
-  // What is heard of backends beside.
+  // Other feedback on backends.
   void on_health_check_ended(Backend& backend, const AttemptOutcome& outcome, const LoadReport& report);
   void on_load_reported(Session& session, double load);
   void on_message_latency_reported(Session& session, Micros latency);
-  // Messages on the established session have brought nothing back for seconds: it looks sound from here, and
-  // its client would wait for good.
+  // Messages on the established session have had no response for seconds. The connection still looks healthy
+  // to the relay, so without a migration the client would wait forever.
   void on_session_unresponsive(Session& session);
 
-  // Before this relay ends: rejects new sessions and migrates the others, within the usual time or the given
-  // one.
+  // Graceful shutdown: rejects new sessions and migrates the others within `duration`, by default
+  // BalancerParameters::shutdown_duration.
   void begin_graceful_shutdown() { begin_graceful_shutdown(parameters_.shutdown_duration); }
   void begin_graceful_shutdown(Micros duration) {
     placement_.stop();
-    migration_.migrate_everything_within(duration);
+    migration_.migrate_all_within(duration);
   }
 
-  // Another process takes this relay's place from now on: its admission slots, its retry budget and its
-  // health checks are that process's own.
+  // Hot restart. After export_state() the successor alone uses this relay's admission slots and retry budget
+  // and runs its health checks.
   StateSnapshot export_state();
   void import_state(const StateSnapshot& snapshot);
 
@@ -102,24 +104,27 @@
   enum class FinalAnswer : std::uint8_t { established, rejected, failed };
 
   void update_state(Backend& backend);
-  // It has restarted: what was learned of it holds no longer.
-  void forget_failures(Backend& backend);
+  // Resets the failure state of a backend that has restarted, since it no longer applies.
+  void reset_failure_state(Backend& backend);
   void place(Session& session);
   bool has_time_for_attempt(const Session& session) const;
   void place_at_pinned_backend(Session& session);
+  // An attempt that cannot have reached the backend does not count towards `max_attempts`.
   void retry_at_pinned_backend(Session& session, AttemptResult result);
-  // The one place from which an attempt leaves: whatever chose the backend, every condition is checked here.
+  // The only function that starts an attempt: it checks every condition, however the backend was chosen.
   bool start_attempt(Session& session, Backend& backend);
   void on_attempt_failed(Session& session, Backend& backend, const AttemptOutcome& outcome);
-  // Attempts cost work: sent on to a backend that drops or starves them, they keep it down.
+  // Updates outlier detection, the capacity limit and the mean duration. Attempts cost the backend work, so
+  // continued attempts would keep an overloaded backend overloaded.
   void record_failed_attempt(Backend& backend, const AttemptOutcome& outcome);
-  // A backend that drops established sessions is overloaded or fails; one told to leave may do as it likes.
+  // A ready backend that drops established sessions is overloaded or failing; a draining one is expected to
+  // drop them.
   void on_established_session_ended(Backend& backend, const AttemptOutcome& outcome);
-  void keep_established(Session& session);
-  // The one place from which a final answer leaves; it happens once for each session.
-  void answer(Session& session, FinalAnswer final_answer);
+  void record_established(Session& session);
+  // The only function that sends a final answer, once for each session.
+  void send_final_answer(Session& session, FinalAnswer final_answer);
 
-  // Each part may use those above it.
+  // Declared in order of dependency: each member may use those above it.
   BalancerActions& actions_;
   const BalancerParameters parameters_;
   RandomSource random_;
--- a/src/balancer/endpoint_list_refresh.cpp
+++ b/src/balancer/endpoint_list_refresh.cpp
@@ -4,20 +4,23 @@
 
 namespace cherryrail {
 
-void EndpointListRefresh::on_failed(Micros longest) {
+void EndpointListRefresh::on_failed(Micros max_delay) {
   if (!parameters_.must_request_endpoints) return;
-  actions_.call_at(actions_.now() + backoff(longest), [this] { actions_.watch_endpoints(); });
+  actions_.call_at(actions_.now() + backoff(max_delay), [this] { actions_.watch_endpoints(); });
 }
 
-Micros EndpointListRefresh::backoff(Micros longest) {
+Micros EndpointListRefresh::backoff(Micros max_delay) {
   const Micros interval = parameters_.endpoint_request_interval;
-  const Micros bound = interval > 0 ? std::min(interval, kLongestBackoff) : kLongestBackoff;
-  const Micros doubled = std::min(bound / 4, kFirstBackoff) << std::min(failures_, kMostDoublings);
-  ++failures_;
-  const Micros own_delay = parameters_.endpoint_retry_delay;
-  if (own_delay > 0) return random_.jittered(std::min(longest, own_delay));
-  if (parameters_.relay_count <= kFewRelays) return random_.jittered(std::min({longest, bound / 4, doubled}));
-  return random_.delay_up_to(std::min({longest, bound, doubled / kFewRelays * parameters_.relay_count}));
+  const Micros max_backoff = interval > 0 ? std::min(interval, kMaxBackoff) : kMaxBackoff;
+  const Micros doubled = std::min(max_backoff / 4, kInitialBackoff)
+                         << std::min(consecutive_failures_, kMaxDoublings);
+  ++consecutive_failures_;
+  const Micros agent_delay = parameters_.endpoint_retry_delay;
+  if (agent_delay > 0) return random_.jittered(std::min(max_delay, agent_delay));
+  if (parameters_.relay_count <= kUnscaledRelays)
+    return random_.jittered(std::min({max_delay, max_backoff / 4, doubled}));
+  return random_.delay_up_to(
+      std::min({max_delay, max_backoff, doubled / kUnscaledRelays * parameters_.relay_count}));
 }
 
 }  // namespace cherryrail
--- a/src/balancer/endpoint_list_refresh.hpp
+++ b/src/balancer/endpoint_list_refresh.hpp
@@ -1,4 +1,4 @@
-// When discovery is asked for the endpoint list again after a failure.
+// Requests the endpoint list again after discovery failed, with backoff.
 #pragma once
 
 #include "balancer/actions.hpp"
@@ -7,31 +7,32 @@
 
 namespace cherryrail {
 
-// Discovery is one service: asked by many relays as soon as by a few, it serves no call before the caller has
-// given up. So the backoff grows with the number of relays and is spread. Where discovery serves this relay
-// alone, it is asked at once, for what it has to tell counts as told.
+// All relays share one discovery service. If many relays retried as soon as a few may, the service would
+// answer no call before its timeout. So the backoff grows with the number of relays and has random jitter. A
+// discovery agent that serves this relay alone is asked again after a short delay (`endpoint_retry_delay`),
+// because the relay is expected to know every change that its own agent knows.
 class EndpointListRefresh {
  public:
   EndpointListRefresh(BalancerActions& actions, const BalancerParameters& parameters, RandomSource& random)
       : actions_(actions), parameters_(parameters), random_(random) {}
 
-  void on_updated() { failures_ = 0; }
-  // Asks again after a backoff, `longest` at most.
-  void on_failed(Micros longest);
+  void on_updated() { consecutive_failures_ = 0; }
+  // Watches the endpoint list again after a backoff of at most `max_delay`.
+  void on_failed(Micros max_delay);
 
  private:
-  static constexpr Micros kFirstBackoff = kSecond / 4;  // where few relays ask
-  static constexpr unsigned kFewRelays = 4;             // so many do not crowd discovery
-  static constexpr unsigned kMostDoublings = 6;
-  // Of the six seconds after which a change counts as told; the call has the other two.
-  static constexpr Micros kLongestBackoff = 4 * kSecond;
+  static constexpr Micros kInitialBackoff = kSecond / 4;  // for up to kUnscaledRelays relays
+  static constexpr unsigned kUnscaledRelays = 4;          // so few do not overload discovery
+  static constexpr unsigned kMaxDoublings = 6;
+  // A relay must know a change within six seconds of discovery having it, and the call may take two of them.
+  static constexpr Micros kMaxBackoff = 4 * kSecond;
 
-  Micros backoff(Micros longest);
+  Micros backoff(Micros max_delay);
 
   BalancerActions& actions_;
   const BalancerParameters& parameters_;
   RandomSource& random_;
-  unsigned failures_ = 0;  // in a row
+  unsigned consecutive_failures_ = 0;
 };
 
 }  // namespace cherryrail
--- a/src/balancer/health_check_scheduler.cpp
+++ b/src/balancer/health_check_scheduler.cpp
@@ -15,30 +15,30 @@
   actions_.call_at(actions_.now() + interval, [this] { run(); });
 }
 
-void HealthCheckScheduler::check_backends(bool in_doubt) {
+void HealthCheckScheduler::check_backends(bool suspected) {
   const Micros now = actions_.now();
-  const double needed = in_doubt ? 1 : kMostTokens / 2;
+  const double tokens_needed = suspected ? 1 : kMaxTokens / 2;
   const auto& backends = fleet_.backends();
-  const std::size_t from = round_from_;
-  for (std::size_t i = 0; i < backends.size() && tokens_.tokens() >= needed; ++i) {
+  const std::size_t from = next_index_;
+  for (std::size_t i = 0; i < backends.size() && tokens_.tokens() >= tokens_needed; ++i) {
     Backend& backend = *backends[(from + i) % backends.size()];
     if (backend.state != EndpointState::ready || backend.health_check.is_pending()) continue;
-    if (is_in_doubt(backend) != in_doubt || !is_due(backend, in_doubt, now)) continue;
+    if (is_suspected(backend) != suspected || !is_due(backend, suspected, now)) continue;
     tokens_.take_one();
     backend.health_check.start(now);
     actions_.check_health(backend);
-    if (!in_doubt) round_from_ = (from + i + 1) % backends.size();
+    if (!suspected) next_index_ = (from + i + 1) % backends.size();
   }
 }
 
-bool HealthCheckScheduler::is_in_doubt(const Backend& backend) const {
-  const bool is_suspected = backend.outlier.failure_log_odds() > 0 && outliers_.has_recent_failures();
-  return is_suspected || capacity_.was_reduced_recently(backend);
+bool HealthCheckScheduler::is_suspected(const Backend& backend) const {
+  const bool may_be_outlier = backend.outlier.failure_log_odds() > 0 && outliers_.has_recent_failures();
+  return may_be_outlier || capacity_.was_reduced_recently(backend);
 }
 
-bool HealthCheckScheduler::is_due(const Backend& backend, bool in_doubt, Micros now) const {
+bool HealthCheckScheduler::is_due(const Backend& backend, bool suspected, Micros now) const {
   const Micros checked_at = backend.health_check.started_at();
-  if (!in_doubt) return now >= std::max(checked_at, backend.outlier.last_response_at()) + kRoutineInterval;
+  if (!suspected) return now >= std::max(checked_at, backend.outlier.last_response_at()) + kRoutineInterval;
   return now >=
          checked_at + (backend.outlier.is_ejected() ? kSecond : parameters_.shortest_attempt_objective);
 }
--- a/src/balancer/health_check_status.hpp
+++ b/src/balancer/health_check_status.hpp
@@ -1,4 +1,4 @@
-// The latest health check of one backend.
+// State of one backend's latest health check: whether it is pending, and when it started.
 #pragma once
 
 #include "balancer/time.hpp"
--- a/src/balancer/migration_pool.cpp
+++ b/src/balancer/migration_pool.cpp
@@ -26,7 +26,7 @@
   run();
 }
 
-void MigrationPool::migrate_everything_within(Micros duration) {
+void MigrationPool::migrate_all_within(Micros duration) {
   for (const auto& backend : fleet_.backends()) {
     for (Session* held : backend->sessions) {
       actions_.call_at(actions_.now() + random_.delay_up_to(duration), [this, weak = held->weak_from_this()] {
@@ -47,10 +47,10 @@
   if (has_space)
     queue_.push_back(self);
   else
-    actions_.call_at(actions_.now() + kQueueFullWait, [this, self] { enqueue_when_space(self); });
+    actions_.call_at(actions_.now() + kQueueFullTimeout, [this, self] { enqueue_or_migrate(self); });
 }
 
-void MigrationPool::enqueue_when_space(const std::weak_ptr<Session>& waiting) {
+void MigrationPool::enqueue_or_migrate(const std::weak_ptr<Session>& waiting) {
   const auto session = waiting.lock();
   if (!session || !session->is_established) return;
   if (queue_.size() >= queue_limit()) {
@@ -63,7 +63,7 @@
 
 void MigrationPool::run() {
   std::vector<std::weak_ptr<Session>> waiting;
-  while (running_ < pool_size() && !queue_.empty()) {
+  while (running_migrations_ < pool_size() && !queue_.empty()) {
     const auto session = queue_.front().lock();
     queue_.pop_front();
     if (!session || !session->is_established) continue;
@@ -75,7 +75,7 @@
       migrate(*session);
   }
   queue_.insert(queue_.end(), waiting.begin(), waiting.end());
-  if (!waiting.empty()) run_again_later();
+  if (!waiting.empty()) schedule_run();
 }
 
 bool MigrationPool::must_wait(Session& session) {
@@ -87,19 +87,19 @@
 }
 
 void MigrationPool::migrate(Session& session) {
-  ++running_;
+  ++running_migrations_;
   const auto is_running = std::make_shared<bool>(true);
   const auto finish = [this, is_running] {
     if (!std::exchange(*is_running, false)) return;
-    --running_;
+    --running_migrations_;
     run();
   };
   session.on_backend_ended = [finish](const AttemptOutcome&) { finish(); };
-  actions_.call_at(actions_.now() + kLongestMigration, finish);
+  actions_.call_at(actions_.now() + kMigrationTimeout, finish);
   actions_.migrate_session(session);
 }
 
-void MigrationPool::run_again_later() {
+void MigrationPool::schedule_run() {
   if (std::exchange(is_run_scheduled_, true)) return;
   actions_.call_at(actions_.now() + parameters_.shortest_attempt_objective / 2, [this] {
     is_run_scheduled_ = false;
--- a/src/balancer/migration_pool.hpp
+++ b/src/balancer/migration_pool.hpp
@@ -1,5 +1,5 @@
-// Moves established sessions off a backend, or off this relay: a queue, and a bounded number of migrations at
-// a time.
+// Migrates established sessions away from a backend or from this relay: a queue, and a limited number of
+// concurrent migrations.
 #pragma once
 
 #include <cstddef>
@@ -15,8 +15,8 @@
 
 namespace cherryrail {
 
-// A migration ends the session here, with the word to its client to connect anew. The bounds are the
-// design's, with P the established sessions that are not waiting to migrate.
+// A migration ends the session at this relay after telling its client to reconnect. The limits on concurrent
+// migrations and on the queue depend on the number of established sessions that are not queued to migrate.
 class MigrationPool {
  public:
   MigrationPool(BalancerActions& actions, const BalancerParameters& parameters, RandomSource& random,
@@ -24,29 +24,31 @@
       : actions_(actions), parameters_(parameters), random_(random), fleet_(fleet), placement_(placement),
         penalties_(penalties) {}
 
-  // Queues the session, unless it is queued already. run() begins what may begin.
+  // Queues the session, unless it is queued already. The migration starts with run().
   void enqueue(Session& session);
-  // Queues all sessions that the backend holds, and runs; `reason` is for the log.
+  // Queues all established sessions of the backend and calls run(). `reason` is logged.
   void migrate_all(Backend& backend, const char* reason);
-  // Begins migrations, as many as the pool allows.
+  // Starts as many queued migrations as the pool allows.
   void run();
-  // The relay shuts down: every session is queued at a moment drawn from this time. Asked all at once,
-  // clients would connect at once to other relays, and backends would drown in attempts.
-  void migrate_everything_within(Micros duration);
+  // For graceful shutdown: queues every established session at a random time within `duration`. If all
+  // clients reconnected to other relays at once, the attempts would overload the backends.
+  void migrate_all_within(Micros duration);
 
  private:
-  static constexpr Micros kLongestMigration = kSecond;  // after that its place in the pool is free again
-  static constexpr Micros kQueueFullWait =
-      kSecond / 10;  // for space, before a session migrates outside the pool
+  // A migration that has not ended by then no longer occupies the pool.
+  static constexpr Micros kMigrationTimeout = kSecond;
+  // How long a session waits for space in a full queue before it migrates outside the pool.
+  static constexpr Micros kQueueFullTimeout = kSecond / 10;
 
   std::size_t pool_size() const;
   std::size_t queue_limit() const;
-  // A client that is migrated while nothing would take it in is rejected; on a backend that drains it is
-  // served.
+  // Whether the session stays queued because no better backend would accept it now. A client that reconnects
+  // then is rejected, while a draining backend still serves it.
   bool must_wait(Session& session);
   void migrate(Session& session);
-  void enqueue_when_space(const std::weak_ptr<Session>& waiting);
-  void run_again_later();
+  // Queues the session if the queue has space by now, and otherwise migrates it at once.
+  void enqueue_or_migrate(const std::weak_ptr<Session>& waiting);
+  void schedule_run();
 
   BalancerActions& actions_;
   const BalancerParameters& parameters_;
@@ -55,7 +57,7 @@
   Placement& placement_;
   const LatencyPenalties& penalties_;
   std::deque<std::weak_ptr<Session>> queue_;
-  std::size_t running_ = 0;
+  std::size_t running_migrations_ = 0;
   bool is_run_scheduled_ = false;
 };
 
--- a/src/balancer/outlier_detector.cpp
+++ b/src/balancer/outlier_detector.cpp
@@ -10,38 +10,38 @@
 void OutlierDetector::record_outcome(Backend& backend, bool is_success) {
   OutlierStatus& status = backend.outlier;
   const Micros now = actions_.now();
-  const double usual = usual_failure_share(backend);
+  const double peer_rate = peer_failure_rate(backend);
   (is_success ? status.successes_ : status.failures_).add(now, 1);
   (is_success ? successes_ : failures_).add(now, 1);
   const double likelihood_ratio =
-      is_success ? (1 - kOutlierFailureShare) / (1 - usual) : kOutlierFailureShare / usual;
+      is_success ? (1 - kOutlierFailureRate) / (1 - peer_rate) : kOutlierFailureRate / peer_rate;
   status.failure_log_odds_ =
       std::clamp(status.failure_log_odds_ + std::log(likelihood_ratio), 0.0, 2 * kEjectionLogOdds);
   if (status.is_ejected_) {
     record_recovery_outcome(backend, is_success);
     return;
   }
-  // What fails during overload is the load's fault: the capacity limit answers that.
+  // Failures during overload are caused by the load, which the capacity limit handles.
   const bool is_outlier = status.failure_log_odds_ >= kEjectionLogOdds;
   if (is_outlier && !capacity_.was_reduced_recently(backend) && may_eject_another()) eject(backend);
 }
 
-double OutlierDetector::usual_failure_share(const Backend& backend) const {
+double OutlierDetector::peer_failure_rate(const Backend& backend) const {
   const Micros now = actions_.now();
   const double failed = 0.04 + std::max(0.0, failures_.sum(now) - backend.outlier.failures_.sum(now));
-  const double seen = 2 + failed + std::max(0.0, successes_.sum(now) - backend.outlier.successes_.sum(now));
-  return std::clamp(failed / seen, 0.02, 0.95 * kOutlierFailureShare);
+  const double total = 2 + failed + std::max(0.0, successes_.sum(now) - backend.outlier.successes_.sum(now));
+  return std::clamp(failed / total, 0.02, 0.95 * kOutlierFailureRate);
 }
 
 void OutlierDetector::record_recovery_outcome(Backend& backend, bool is_success) {
   OutlierStatus& status = backend.outlier;
   const Micros now = actions_.now();
-  const Micros longer = std::min(2 * status.recovery_interval_, kLongestRecoveryInterval);
-  status.recovery_interval_ = is_success ? status.recovery_interval_ / 2 : longer;
+  const Micros doubled_interval = std::min(2 * status.recovery_interval_, kMaxRecoveryInterval);
+  status.recovery_interval_ = is_success ? status.recovery_interval_ / 2 : doubled_interval;
   status.next_recovery_attempt_at_ = now + status.recovery_interval_;
   status.consecutive_successes_ = is_success ? status.consecutive_successes_ + 1 : 0;
   if (status.consecutive_successes_ < kSuccessesToRecover) return;
-  // One that did not respond may have restarted before discovery can say so: then it warms up.
+  // An unresponsive backend may have restarted before discovery reports it, and would then be warming up.
   if (status.is_unresponsive_) backend.slow_start.assume_started_at(now);
   status.reset();
   actions_.log("backend " + std::to_string(backend.name) + " recovered");
@@ -54,7 +54,7 @@
 }
 
 void OutlierDetector::eject(Backend& backend) {
-  backend.outlier.eject(actions_.now(), kFirstRecoveryInterval);
+  backend.outlier.eject(actions_.now(), kInitialRecoveryInterval);
   actions_.log("backend " + std::to_string(backend.name) + " ejected");
 }
 
--- a/src/balancer/outlier_detector.hpp
+++ b/src/balancer/outlier_detector.hpp
@@ -1,4 +1,4 @@
-// Ejects backends that fail more than their peers, or do not answer at all, and lets them recover.
+// Ejects backends that fail more often than the others or are unresponsive, and readmits them on recovery.
 #pragma once
 
 #include "balancer/capacity.hpp"
@@ -12,31 +12,32 @@
                   MigrationPool& migration)
       : actions_(actions), fleet_(fleet), capacity_(capacity), migration_(migration) {}
 
-  // An attempt, a session or a health check ended well or badly. Wald's sequential test of "fails as its
-  // peers do" against "fails by itself": when all fail together the cause is shared, and ejecting the unlucky
-  // ones would overload the rest.
+  // Records the success or failure of an attempt, a session or a health check. Uses Wald's sequential
+  // probability ratio test of "fails as often as the other backends" against "is an outlier": when all
+  // backends fail together the cause is shared, and ejecting some of them would overload the rest.
   void record_outcome(Backend& backend, bool is_success);
-  // Nothing came back from the backend. After four times in a row, while others answer, it is ejected and its
-  // sessions migrate.
-  // A backend that stops responding breaks nothing: what it holds would hang until discovery says so.
+  // Records that the backend did not respond at all. After four times in a row, while others respond, it is
+  // ejected and its sessions migrate. An unresponsive backend closes no connection, so its sessions would
+  // otherwise hang until discovery removes it.
   void record_no_response(Backend& backend);
+  // Restores what the predecessor learned about the backend.
   void restore(Backend& backend, const BackendSnapshot& snapshot);
 
-  // Whether anything failed lately, anywhere.
+  // Whether any backend has failed within the last eight seconds.
   bool has_recent_failures() const { return failures_.sum(actions_.now()) > 0; }
 
  private:
-  static constexpr double kOutlierFailureShare = 0.9;  // of what an outlier gets
-  static constexpr double kEjectionLogOdds = 6.5;      // about 1 in 700 to eject a healthy backend
-  static constexpr unsigned kSuccessesToRecover = 3;
-  static constexpr unsigned kNoResponsesToEject = 4;
-  static constexpr Micros kFirstRecoveryInterval = kSecond;
-  static constexpr Micros kLongestRecoveryInterval = 5 * kSecond;
-
-  // The share of failures at all other backends.
-  double usual_failure_share(const Backend& backend) const;
+  static constexpr double kOutlierFailureRate = 0.9;  // failures per outcome at an outlier
+  static constexpr double kEjectionLogOdds = 6.5;     // about 1 in 700 to eject a healthy backend
+  static constexpr unsigned kSuccessesToRecover = 3;  // in a row
+  static constexpr unsigned kNoResponsesToEject = 4;  // in a row
+  static constexpr Micros kInitialRecoveryInterval = kSecond;
+  static constexpr Micros kMaxRecoveryInterval = 5 * kSecond;
+
+  // The share of outcomes at all other backends that are failures, within bounds.
+  double peer_failure_rate(const Backend& backend) const;
   void record_recovery_outcome(Backend& backend, bool is_success);
-  // Half of the fleet at most: rather one outlier in service than the rest overloaded.
+  // At most half of the fleet is ejected: an outlier in service is better than an overload of the rest.
   bool may_eject_another() const;
   void eject(Backend& backend);
 
--- a/src/balancer/outlier_status.hpp
+++ b/src/balancer/outlier_status.hpp
@@ -1,4 +1,4 @@
-// Whether one backend fails more than its peers, or does not answer at all.
+// Outlier detection state of one backend, updated by OutlierDetector.
 #pragma once
 
 #include "balancer/sliding_window.hpp"
@@ -9,27 +9,27 @@
 
 class OutlierStatus {
  public:
-  // Ejected from placement, but for the attempts by which it may recover.
+  // Excluded from placement, except for recovery attempts.
   bool is_ejected() const { return is_ejected_; }
-  // Ejected, and no attempt at it is due.
+  // Ejected, and no recovery attempt is due yet.
   bool is_avoided(Micros now) const { return is_ejected_ && now < next_recovery_attempt_at_; }
-  // Ejected because it did not answer at all.
+  // Ejected because it did not respond at all.
   bool is_unresponsive() const { return is_unresponsive_; }
-  // The sequential test's log odds that it fails by itself, and not as its peers do.
+  // The sequential test's log odds that the backend is an outlier rather than failing as the others do.
   double failure_log_odds() const { return failure_log_odds_; }
   Micros last_response_at() const { return last_response_at_; }
-  // Failures in the latest two seconds.
+  // Failures within the last two seconds.
   double recent_failures(Micros now) const { return failures_.sum(now, 2); }
 
-  // Forgets what was learned of it: it has restarted.
+  // Clears the state of a backend that has restarted or recovered.
   void reset();
-  // Takes it out of placement; the first attempt by which it may recover follows after an interval.
+  // Excludes the backend from placement; the first recovery attempt is due after `recovery_interval`.
   void eject(Micros now, Micros recovery_interval);
-  // Something came back from it.
+  // The backend has sent any response.
   void record_response(Micros now);
-  // A health check got through to it while it is ejected: an attempt may follow at once.
+  // A health check of the ejected backend succeeded: a recovery attempt may follow at once.
   void allow_recovery_attempt(Micros now);
-  // An attempt was sent to it: the next one at an ejected backend has to wait.
+  // An attempt at the backend started; if it is ejected, the next one has to wait.
   void record_attempt(Micros now);
 
   void save(BackendSnapshot& snapshot) const;
@@ -40,8 +40,8 @@
   bool is_ejected_ = false;
   bool is_unresponsive_ = false;
   double failure_log_odds_ = 0;
-  unsigned consecutive_successes_ = 0;     // since it was ejected
-  unsigned consecutive_no_responses_ = 0;  // no word of any kind came back
+  unsigned consecutive_successes_ = 0;     // since the ejection
+  unsigned consecutive_no_responses_ = 0;  // since the last response of any kind
   Micros next_recovery_attempt_at_ = 0;
   Micros recovery_interval_ = 0;
   Micros last_response_at_ = 0;
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -6,19 +6,21 @@
 
 bool RetryPolicy::is_safe(const Session& session, const Backend& backend) const {
   const TrafficClass& traffic_class = *session.traffic_class;
-  const Backend* earlier = session.may_have_run_on;
-  if (earlier == nullptr || traffic_class.idempotency == Idempotency::idempotent) return true;
+  const Backend* earlier_backend = session.may_have_run_on;
+  if (earlier_backend == nullptr || traffic_class.idempotency == Idempotency::idempotent) return true;
   if (traffic_class.idempotency == Idempotency::non_idempotent) return false;
-  const Micros forgotten_at = session.may_have_run_since + traffic_class.deduplication_window;
-  if (actions_.now() + parameters_.answer_margin >= forgotten_at) return false;
-  if (traffic_class.deduplication_scope == DeduplicationScope::zone) return backend.zone == earlier->zone;
-  if (traffic_class.deduplication_scope == DeduplicationScope::cell) return backend.cell == earlier->cell;
+  const Micros deduplicated_until = session.may_have_run_since + traffic_class.deduplication_window;
+  if (actions_.now() + parameters_.answer_margin >= deduplicated_until) return false;
+  if (traffic_class.deduplication_scope == DeduplicationScope::zone)
+    return backend.zone == earlier_backend->zone;
+  if (traffic_class.deduplication_scope == DeduplicationScope::cell)
+    return backend.cell == earlier_backend->cell;
   return true;
 }
 
 bool RetryPolicy::is_rejection_harmless(const Session& session) const {
   const TrafficClass& traffic_class = *session.traffic_class;
-  // An attempt that is still under way may take effect yet.
+  // An attempt that is still under way may yet take effect.
   const bool may_have_run = session.may_have_run_on != nullptr || session.backend != nullptr;
   if (!may_have_run || traffic_class.idempotency == Idempotency::idempotent) return true;
   return traffic_class.idempotency == Idempotency::idempotency_key &&
@@ -27,7 +29,7 @@
 
 bool RetryPolicy::is_within_budget(const Session& session) const {
   if (parameters_.retry_budget_window <= 0 || session.attempts == 0) return true;
-  const double allowed = minimum_ + ratio_ * statistics_.admissions();
+  const double allowed = budget_minimum_ + budget_ratio_ * statistics_.admissions();
   const double spent = statistics_.retries();
   if (spent + 1 > allowed) return false;
   return 2 * spent < allowed || session.traffic_class->priority_weight >= parameters_.mean_priority_weight;
@@ -35,11 +37,11 @@
 
 Micros RetryPolicy::attempt_timeout(const Session& session) const {
   const Micros now = actions_.now();
-  const auto usual = static_cast<Micros>(statistics_.mean_duration(kTimeoutFactor));
+  const auto usual_timeout = static_cast<Micros>(statistics_.mean_duration(kTimeoutPerMeanDuration));
   const Micros objective = session.traffic_class->attempt_latency_objective;
-  const Micros left = session.deadline - now - 2 * parameters_.answer_margin;
-  if (session.pinned_backend) return std::min(left, session.deadline - now - kPinnedAnswerMargin);
-  return std::min(std::max(objective, usual), left);
+  const Micros time_left = session.deadline - now - 2 * parameters_.answer_margin;
+  if (session.pinned_backend) return std::min(time_left, session.deadline - now - kPinnedAnswerMargin);
+  return std::min(std::max(objective, usual_timeout), time_left);
 }
 
 Micros RetryPolicy::pinned_retry_delay(const Session& session) {
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -1,4 +1,4 @@
-// Whether a session may be sent to another backend after an attempt, and how long an attempt may take.
+// Decides whether an attempt may be retried, and how long an attempt may take.
 #pragma once
 
 #include "balancer/actions.hpp"
@@ -12,35 +12,37 @@
   RetryPolicy(const BalancerActions& actions, const BalancerParameters& parameters,
               const AttemptStatistics& statistics)
       : actions_(actions), parameters_(parameters), statistics_(statistics),
-        minimum_(parameters.retry_budget_minimum), ratio_(parameters.retry_budget_ratio) {}
+        budget_minimum_(parameters.retry_budget_minimum), budget_ratio_(parameters.retry_budget_ratio) {}
 
-  // Whether an attempt at this backend could not take effect a second time. An attempt that may have taken
-  // effect is repeated only where the repeat is recognised, and while it is.
+  // Whether an attempt at this backend cannot take effect a second time. An attempt that may have taken
+  // effect is retried only at backends that would recognise the duplicate, and only within the deduplication
+  // window.
   bool is_safe(const Session& session, const Backend& backend) const;
-  // Whether a rejection would be true: nothing has happened, or doing it again does no harm.
+  // Whether the client may be told that nothing has happened: no attempt can have taken effect, or a repeat
+  // does no harm.
   bool is_rejection_harmless(const Session& session) const;
-  // The retry budget: in any window so many retries, and a share of the sessions admitted in it. A first
-  // attempt needs none.
-  // Half of the budget is for every session, the rest for those whose priority is at least the mean.
+  // Whether the retry budget allows the session's next attempt. In any window the budget is a fixed number of
+  // retries plus a share of the sessions admitted; a first attempt does not use it. Every session may use the
+  // first half, only sessions of at least mean priority the rest.
   bool is_within_budget(const Session& session) const;
-  // The attempt latency objective, or longer while attempts everywhere take longer: a timeout that strikes
-  // healthy backends would turn a slow spell into a retry storm.
-  // A pinned session has nowhere else to go, and waits for as long as its client does.
+  // The attempt latency objective, or longer while attempts at all backends take longer: timeouts at healthy
+  // but slow backends would cause a retry storm. A pinned session cannot use another backend, so it waits
+  // almost as long as its client does.
   Micros attempt_timeout(const Session& session) const;
-  // How long a pinned session waits after a failed attempt for the next one at the same backend.
+  // The delay between a pinned session's failed attempt and its next one at the same backend.
   static Micros pinned_retry_delay(const Session& session);
-  // How many times the usual connect timeout the session's next attempt has: a pinned session has no other
-  // backend to turn to while connections to its own come up late.
+  // The factor on the usual connect timeout for the session's next attempt. It grows with each failure of a
+  // pinned session, which has no alternative while connections to its backend are slow.
   static unsigned connect_timeout_factor(const Session& session);
 
-  // A successor spends the budget from now on.
-  void give_up_budget() {
-    minimum_ = 0;
-    ratio_ = 0;
+  // From now on only the successor spends the retry budget.
+  void release_budget() {
+    budget_minimum_ = 0;
+    budget_ratio_ = 0;
   }
 
  private:
-  static constexpr double kTimeoutFactor = 4;  // times the mean duration of attempts
+  static constexpr double kTimeoutPerMeanDuration = 4;
   static constexpr Micros kPinnedAnswerMargin = kSecond / 50;
   static constexpr Micros kFirstPinnedRetryDelay = kSecond / 40;
   static constexpr unsigned kPinnedRetryDelayDoublings = 3;
@@ -49,8 +51,8 @@
   const BalancerActions& actions_;
   const BalancerParameters& parameters_;
   const AttemptStatistics& statistics_;
-  double minimum_;  // of the retry budget
-  double ratio_;
+  double budget_minimum_;  // retries per window
+  double budget_ratio_;    // retries per admitted session
 };
 
 }  // namespace cherryrail
--- a/src/balancer/session_rules.hpp
+++ b/src/balancer/session_rules.hpp
@@ -1,5 +1,5 @@
-// The one place that decides whether an attempt may begin, whether its request may still be sent, and whether
-// a session may be answered.
+// Decides, for the whole balancer, whether an attempt may start, whether its request may still be sent, and
+// whether a session may get a final answer.
 #pragma once
 
 #include <cstdint>
@@ -10,18 +10,18 @@
 
 namespace cherryrail {
 
-// Why something may not happen now.
+// Why an attempt, a request or a final answer is not allowed now.
 enum class Refusal : std::uint8_t {
-  none,  // it may
+  none,  // it is allowed
   already_answered,
   attempt_under_way,
   attempts_used_up,
-  backend_not_ready,  // it drains, is gone, or an operator has disabled it
-  could_run_twice,
+  backend_not_ready,  // draining, gone or disabled by operator
+  could_run_twice,    // an earlier attempt may have taken effect
   no_retry_budget,
 };
 
-// For the log.
+// The name that the log uses.
 std::string_view to_string(Refusal refusal);
 
 class SessionRules {
@@ -29,11 +29,12 @@
   SessionRules(const BalancerParameters& parameters, const RetryPolicy& retry_policy)
       : parameters_(parameters), retry_policy_(retry_policy) {}
 
-  // The next attempt for the session, at that backend. Slow start is asked apart: it needs the fleet's load.
+  // Whether the session's next attempt may start at `backend`. Slow start is checked separately, because it
+  // needs the fleet's load.
   Refusal refuse_attempt(const Session& session, const Backend& backend) const;
-  // The first byte of the request of an attempt that has begun.
+  // Whether the first byte of the request may be sent, in an attempt that has started.
   Refusal refuse_request(const Session& session, const Backend& backend) const;
-  // A final answer.
+  // Whether the session may get a final answer.
   Refusal refuse_answer(const Session& session) const;
 
  private:
--- a/src/balancer/session_set.cpp
+++ b/src/balancer/session_set.cpp
@@ -21,7 +21,7 @@
   sessions_.pop_back();
   const auto group = by_group_.find(session.hash_key);
   if (--group->second == 0) by_group_.erase(group);
-  // An empty set has no load: rounding errors end here.
+  // Resets rounding errors whenever the set becomes empty.
   load_ = sessions_.empty() ? 0 : load_ - session.load;
 }
 
--- a/src/balancer/session_set.hpp
+++ b/src/balancer/session_set.hpp
@@ -1,4 +1,4 @@
-// The sessions that one backend holds, with the sum of their loads.
+// The set of sessions at one backend, with the sum of their loads.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,8 @@
 
 namespace cherryrail {
 
-// Sessions with an attempt under way at the backend, or established there. Fleet adds and removes them.
+// Contains each session that has an attempt under way at the backend or is established there. Only Fleet adds
+// and removes sessions.
 class SessionSet {
  public:
   bool empty() const { return sessions_.empty(); }
@@ -21,12 +22,12 @@
   auto begin() const { return sessions_.begin(); }
   auto end() const { return sessions_.end(); }
 
-  // What the sessions are taken to ask of the backend.
+  // The expected load of the sessions on the backend.
   double load() const { return load_; }
-  // How many of them have this hash key.
+  // The number of sessions with this hash key.
   unsigned group_size(std::uint64_t hash_key) const;
   bool has_group(std::uint64_t hash_key) const { return by_group_.contains(hash_key); }
-  // Load added so lately that a report read now may not know of it.
+  // Load added so recently that a load report received now may not include it.
   double recently_added_load(Micros now) const { return recently_added_load_.sum(now); }
 
  private:
@@ -35,12 +36,12 @@
   void insert(Session& session, Micros now);
   void erase(Session& session);
 
-  static constexpr Micros kReportAge = kSecond;  // of a report, at most, when it is read
+  static constexpr Micros kMaxReportAge = kSecond;  // of a load report when it is received
 
   std::vector<Session*> sessions_;
   double load_ = 0;
   std::map<std::uint64_t, unsigned> by_group_;
-  SlidingWindow recently_added_load_{kReportAge / 8};
+  SlidingWindow recently_added_load_{kMaxReportAge / 8};
 };
 
 }  // namespace cherryrail
--- a/src/balancer/sliding_window.cpp
+++ b/src/balancer/sliding_window.cpp
@@ -24,7 +24,7 @@
   return total;
 }
 
-// The two sizes in use: short statistics, and the retry budget, whose error has to be small.
+// The two sizes in use: 8 buckets for short-term statistics, 64 for the retry budget, which must be precise.
 template class SlidingWindowOf<8>;
 template class SlidingWindowOf<64>;
 
--- a/src/balancer/state_snapshot.cpp
+++ b/src/balancer/state_snapshot.cpp
@@ -10,11 +10,11 @@
 namespace cherryrail {
 namespace {
 
-// 0 stands for never, or for long ago, on any clock, and what is this far ahead for always.
-constexpr Micros kAlways = std::numeric_limits<Micros>::max() / 2;
+// Times from here on mean "always" or "forever" on any clock and are not shifted.
+constexpr Micros kForever = std::numeric_limits<Micros>::max() / 2;
 
 void shift_time(Micros& time, Micros shift) {
-  if (time > 0 && time < kAlways) time += shift;
+  if (time > 0 && time < kForever) time += shift;
 }
 
 }  // namespace
@@ -29,13 +29,14 @@
   }
 }
 
-// What the first part counts must not be counted again; the other figures stand for themselves.
-std::vector<StateSnapshot> split(const StateSnapshot& snapshot, std::size_t most_backends) {
+// Counts go into the first part only, because import_state() adds them up; it replaces or merges the other
+// values, so each part may repeat them.
+std::vector<StateSnapshot> split(const StateSnapshot& snapshot, std::size_t max_backends) {
   const std::span<const BackendSnapshot> backends(snapshot.backends);
   std::vector<StateSnapshot> parts;
-  for (std::size_t begin = 0; parts.empty() || begin < backends.size(); begin += most_backends) {
+  for (std::size_t begin = 0; parts.empty() || begin < backends.size(); begin += max_backends) {
     StateSnapshot part = parts.empty() ? snapshot : parts.back();
-    const auto chosen = backends.subspan(begin, std::min(most_backends, backends.size() - begin));
+    const auto chosen = backends.subspan(begin, std::min(max_backends, backends.size() - begin));
     part.backends.assign(chosen.begin(), chosen.end());
     if (!parts.empty()) {
       part.new_sessions = 0;
@@ -62,13 +63,13 @@
     backend->outlier.save(saved);
   }
   slow_start_.give_up_slots();
-  retry_policy_.give_up_budget();
+  retry_policy_.release_budget();
   health_checks_.stop();
   return snapshot;
 }
 
-// A relay that forgot at each hot restart would always be young, and take for warm what it knew to be warming
-// up.
+// Without its predecessor's state, a relay that is hot-restarted often would always count as just started,
+// and would treat backends as warm that its predecessor knew to be warming up.
 void Balancer::import_state(const StateSnapshot& snapshot) {
   arrivals_.restore(snapshot);
   slow_start_.restore(snapshot);
@@ -80,7 +81,7 @@
     if (backend == nullptr) continue;
     backend->slow_start.restore_admissions(saved);
     if (backend->reported_started_at != saved.reported_started_at)
-      continue;  // restarted since: the rest is void
+      continue;  // restarted since the snapshot, so its other state no longer applies
     backend->slow_start.restore_start(saved);
     backend->capacity.restore(saved);
     outliers_.restore(*backend, saved);
--- a/src/balancer/state_snapshot.hpp
+++ b/src/balancer/state_snapshot.hpp
@@ -1,4 +1,4 @@
-// What a balancer has learned, for the process that takes its place.
+// The state that a balancer hands over to its successor in a hot restart.
 #pragma once
 
 #include <cstddef>
@@ -24,7 +24,8 @@
   unsigned admitted_in_slot = 0;
 };
 
-// Times are by the clock of the process that took the snapshot, but for `reported_started_at`.
+// Times are by the clock of the process that took the snapshot, except `reported_started_at`, which is by the
+// wall clock. On any clock, 0 means never or long ago.
 struct StateSnapshot {
   Micros balancer_started_at = 0;
   Micros admission_slots_from = 0;
@@ -33,13 +34,14 @@
   double health_check_tokens = 0;
   double recent_retries = 0;  // within the retry budget's last window
   std::vector<BackendSnapshot> backends;
-  Micros clock_origin = 0;  // Unix time at which that clock's steady part was 0; 0: not known
+  Micros clock_origin = 0;  // Unix time at which that clock's steady part was 0; 0: unknown
 };
 
-// The snapshot in parts of at most so many backends, which taken in one after the other come to the same.
-std::vector<StateSnapshot> split(const StateSnapshot& snapshot, std::size_t most_backends);
+// Splits the snapshot into parts of at most `max_backends` backends. Importing the parts one after the other
+// is equivalent to importing the whole.
+std::vector<StateSnapshot> split(const StateSnapshot& snapshot, std::size_t max_backends);
 
-// Moves all times by `shift`: from the clock of the process that took the snapshot to that of another.
+// Adds `shift` to all times, to convert them to the clock of another process.
 void shift_times(StateSnapshot& snapshot, Micros shift);
 
 }  // namespace cherryrail
--- a/src/balancer/token_bucket.hpp
+++ b/src/balancer/token_bucket.hpp
@@ -1,4 +1,4 @@
-// Tokens that are added at some rate and saved up to a limit.
+// A token bucket: holds added tokens up to its capacity until they are taken.
 #pragma once
 
 #include <algorithm>
