--- a/tests/balancer/endpoint_list_refresh_test.cpp
+++ b/tests/balancer/endpoint_list_refresh_test.cpp
@@ -1,5 +1,5 @@
-// When the endpoint list is asked for again after a failure. A change counts as known six seconds after
-// discovery had it and could be reached: the wait and the call, which needs two of them, must fit in.
+// Tests of when the endpoint list is requested again after a failure. A relay must know a change six seconds
+// after discovery has it and can be reached; the backoff and the call, which takes two seconds, must fit in.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,7 +17,7 @@
   return config;
 }
 
-TEST(EndpointListRefresh, WatchesFromTheStartAndAgainAfterEachFailure) {
+TEST(EndpointListRefresh, WatchesAtTheStartAndAfterEachFailure) {
   const BalancerConfig config = polling_config(1);
   BalancerFixture fixture(1, config);
   ASSERT_EQ(fixture.actions.endpoint_watches.size(), 1u);
@@ -30,11 +30,11 @@
   EXPECT_EQ(fixture.actions.endpoint_watches.size(), 13u);
 }
 
-// Discovery is one service for all relays: asked by dozens within a second, it serves no call before that
-// call has timed out, and no relay ever gets the list again. A few relays ask again at once; many use all of
-// the four seconds that there are, evenly.
-TEST(EndpointListRefresh, SpreadsTheCallsOfRelaysThatFailedTogether) {
-  const auto most_calls_in_a_second = [](unsigned relay_count) {
+// All relays share one discovery service. With dozens of calls within a second it answers none before its
+// timeout, and no relay ever gets the list again. So a few relays retry at once, while many spread their
+// calls evenly over the four seconds available.
+TEST(EndpointListRefresh, SpreadsTheCallsOfRelaysThatFailTogether) {
+  const auto max_calls_in_a_second = [](unsigned relay_count) {
     const BalancerConfig config = polling_config(relay_count);
     std::map<Micros, int> calls_by_second;
     for (unsigned i = 0; i < relay_count; ++i) {
@@ -42,21 +42,22 @@
       Balancer balancer(actions, config, 100 + i);
       balancer.on_discovery_failed();
       actions.advance(config.endpoint_request_interval);
-      EXPECT_EQ(actions.endpoint_watches.size(), 2u);  // at the start, and in time after the failure
+      // One watch at the start and one within the interval after the failure.
+      EXPECT_EQ(actions.endpoint_watches.size(), 2u);
       if (actions.endpoint_watches.size() != 2) continue;
       ++calls_by_second[(actions.endpoint_watches[1] - actions.endpoint_watches[0]) / kSecond];
     }
-    int most = 0;
-    for (const auto& [second, calls] : calls_by_second) most = std::max(most, calls);
-    return most;
+    int max_calls = 0;
+    for (const auto& [second, calls] : calls_by_second) max_calls = std::max(max_calls, calls);
+    return max_calls;
   };
 
-  EXPECT_LE(most_calls_in_a_second(48), 28);
-  EXPECT_LE(most_calls_in_a_second(200), 58);  // an even spread has 50
-  EXPECT_EQ(most_calls_in_a_second(3), 3);
+  EXPECT_LE(max_calls_in_a_second(48), 28);
+  EXPECT_LE(max_calls_in_a_second(200), 58);  // an even spread has 50
+  EXPECT_EQ(max_calls_in_a_second(3), 3);
 }
 
-TEST(EndpointListRefresh, CallsWithinTheTimeLeftAtAnyNumberOfRelays) {
+TEST(EndpointListRefresh, RetriesWithinTheMaxDelayForAnyNumberOfRelays) {
   for (const unsigned relay_count : {1u, 5u, 300u}) {
     for (unsigned i = 0; i < 40; ++i) {
       RecordingActions actions;
@@ -70,7 +71,7 @@
   }
 }
 
-TEST(EndpointListRefresh, CallsInTimeAndSpreadAfterAnyNumberOfFailures) {
+TEST(EndpointListRefresh, RetriesWithinFourSecondsAndSpreadAfterAnyNumberOfFailures) {
   for (const unsigned relay_count : {1u, 30u, 350u}) {
     for (const unsigned failures : {1u, 2u, 8u}) {
       std::map<Micros, unsigned> calls_by_tenth_of_a_second;
@@ -95,8 +96,9 @@
   }
 }
 
-// What the relay's own discovery agent has counts as known, however long the agent could not be reached.
-TEST(EndpointListRefresh, AsksItsOwnAgentWithinTheGraceHoweverOftenThatFailed) {
+// The relay is expected to know what its own discovery agent knows, however long the agent was unreachable,
+// so the delay must not grow.
+TEST(EndpointListRefresh, RetriesItsOwnAgentWithoutBackoff) {
   BalancerConfig config = polling_config(300);
   config.endpoint_retry_delay = 50 * kMillisecond;
   RecordingActions actions;
--- a/tests/balancer/guarantees_test.cpp
+++ b/tests/balancer/guarantees_test.cpp
@@ -1,4 +1,4 @@
-// What every session is promised, whatever happens to it.
+// The balancer's guarantees for every session (see Balancer).
 #include <gtest/gtest.h>
 
 #include "support/balancer_fixture.hpp"
@@ -23,7 +23,7 @@
   EXPECT_EQ(fixture.actions.attempts.size(), attempts);
 }
 
-TEST(Guarantees, ASessionThatFitsNowhereIsRejectedAtOnceWithRetryAdvice) {
+TEST(Guarantees, SessionWithoutAnyBackendIsRejectedAtOnceWithRetryAfter) {
   BalancerFixture fixture(0);
 
   const Session& session = fixture.request_session(1);
@@ -33,7 +33,7 @@
   EXPECT_LE(fixture.actions.rejections[0].retry_after, kSecond);
 }
 
-TEST(Guarantees, NothingIsSentForAClientThatHasLeft) {
+TEST(Guarantees, NoAttemptStartsAfterTheClientHasLeft) {
   BalancerFixture fixture(3);
   Session& session = fixture.request_session(1);
 
@@ -44,7 +44,7 @@
   EXPECT_EQ(fixture.final_answers(session), 0u);
 }
 
-TEST(Guarantees, ASessionHasOneAttemptAtATime) {
+TEST(Guarantees, SessionHasOneAttemptAtATime) {
   BalancerFixture fixture(3);
   Session& session = fixture.request_session(1);
 
@@ -55,7 +55,7 @@
   EXPECT_EQ(fixture.actions.attempts.size(), 2u);
 }
 
-TEST(Guarantees, ADrainingOrRemovedBackendGetsNoNewSession) {
+TEST(Guarantees, DrainingOrRemovedBackendGetsNoNewSession) {
   BalancerFixture fixture(3);
   fixture.set_endpoint_state(0, EndpointState::draining);
   fixture.set_endpoint_state(1, EndpointState::gone);
--- a/tests/balancer/health_check_scheduling_test.cpp
+++ b/tests/balancer/health_check_scheduling_test.cpp
@@ -1,4 +1,4 @@
-// Which backends are checked, and how often, within a budget that new clients pay into.
+// Tests of which backends get health checks, and how often, within the token budget that new sessions fill.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(HealthCheckScheduling, ChecksAnOverloadedBackendMoreThanADeadOne) {
+TEST(HealthCheckScheduling, ChecksAnOverloadedBackendAtLeastAsOftenAsADeadOne) {
   BalancerFixture fixture(4, health_check_config(2));
   fixture.establish_sessions(1, 20);
   const Backend& overloaded = *fixture.backends[1];
@@ -20,7 +20,7 @@
     return std::count(fixture.actions.health_checks.begin(), fixture.actions.health_checks.end(), &backend);
   };
 
-  for (int i = 0; i < 50; ++i) {  // every check fails at once
+  for (int i = 0; i < 50; ++i) {  // every check fails immediately
     const std::size_t seen = fixture.actions.health_checks.size();
     fixture.actions.advance(20 * kMillisecond);
     for (std::size_t index = seen; index < fixture.actions.health_checks.size(); ++index)
@@ -32,7 +32,7 @@
   EXPECT_LE(health_checks_of(dead), 2);
 }
 
-TEST(HealthCheckScheduling, KeepsItsBudgetWhenManyBackendsFail) {
+TEST(HealthCheckScheduling, StaysWithinItsBudgetWhenManyBackendsFail) {
   BalancerFixture fixture(60, health_check_config(200));
 
   for (std::uint64_t key = 1; key <= 20; ++key) {
@@ -42,11 +42,11 @@
   fixture.actions.advance(20 * kSecond);
 
   EXPECT_GE(fixture.actions.health_checks.size(), 4u);
-  EXPECT_LE(fixture.actions.health_checks.size(), 30u);  // a new client pays for one
+  EXPECT_LE(fixture.actions.health_checks.size(), 30u);  // each new session adds one token
 }
 
-// In a pause no new client pays; what was saved has to last until the load is low again.
-TEST(HealthCheckScheduling, SavedBudgetLastsThroughAPauseOfNewClients) {
+// Without new sessions hardly any tokens are added; the saved ones have to last until the load is low again.
+TEST(HealthCheckScheduling, SavedTokensLastWhileNoNewSessionsArrive) {
   BalancerFixture fixture(4, health_check_config(200));
   fixture.establish_sessions(1, 30);
 
--- a/tests/balancer/migration_test.cpp
+++ b/tests/balancer/migration_test.cpp
@@ -1,4 +1,4 @@
-// How sessions leave a draining backend.
+// Tests of the migration of established sessions away from a draining backend.
 #include <gtest/gtest.h>
 
 #include "support/balancer_fixture.hpp"
@@ -6,7 +6,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(Migration, EmptiesADrainingBackendByABoundedPool) {
+TEST(Migration, MigratesAllSessionsOfADrainingBackendWithLimitedConcurrency) {
   BalancerFixture fixture(1);
   fixture.establish_sessions(1, 30);
   fixture.add_backend(0);
@@ -19,11 +19,12 @@
   fixture.end_attempt(*fixture.actions.migrated_sessions[0], AttemptResult::cancelled, true);
   EXPECT_EQ(fixture.actions.migrated_sessions.size(), at_once + 1);
 
-  fixture.actions.advance(60 * kSecond);  // an outcome that never comes holds its place for a second only
+  // A migration whose end is never reported occupies the pool for only a second.
+  fixture.actions.advance(60 * kSecond);
   EXPECT_EQ(fixture.actions.migrated_sessions.size(), 30u);
 }
 
-TEST(Migration, AFullQueueMovesOnWithoutOutcomesAfterAShortWait) {
+TEST(Migration, FullQueueMigratesWaitingSessionsAfterATimeout) {
   BalancerFixture fixture(1);
   fixture.establish_sessions(1, 40);
   fixture.add_backend(0);
@@ -35,7 +36,7 @@
   EXPECT_GT(fixture.actions.migrated_sessions.size(), at_once);
 }
 
-TEST(Migration, MigratesAdoptedSessionsLikeTheOthers) {
+TEST(Migration, MigratesAdoptedSessions) {
   BalancerFixture fixture(1);
   fixture.make_session(1);
   fixture.balancer.adopt(fixture.sessions[0], fixture.backends[0]);
@@ -47,9 +48,9 @@
   EXPECT_EQ(fixture.actions.migrated_sessions[0], fixture.sessions[0].get());
 }
 
-// A client migrated with no place to go is rejected and waits longer each time; the draining backend still
-// serves it until then.
-TEST(Migration, WaitsUntilAnotherBackendCouldTakeTheSession) {
+// If no other backend can accept the session, a migrated client is rejected and backs off longer each time,
+// while the draining backend would still serve it.
+TEST(Migration, WaitsUntilAnotherBackendCanAcceptTheSession) {
   BalancerFixture fixture(1);
   fixture.establish_session(1);
 
--- a/tests/balancer/operator_disabled_test.cpp
+++ b/tests/balancer/operator_disabled_test.cpp
@@ -1,4 +1,4 @@
-// Backends that an operator has disabled, against what the endpoint list says of them.
+// Tests of backends disabled by an operator, combined with their state in the endpoint list.
 #include <gtest/gtest.h>
 
 #include "support/balancer_fixture.hpp"
@@ -6,7 +6,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(OperatorDisabled, ADisabledBackendGetsNoSessionWhateverItsReportedState) {
+TEST(OperatorDisabled, DisabledBackendGetsNoSessionInAnyReportedState) {
   BalancerFixture fixture(2);
   Backend& disabled = *fixture.backends[0];
   while (fixture.attempts_to(disabled) == 0) fixture.establish_session(fixture.sessions.size() + 1);
@@ -40,9 +40,9 @@
   EXPECT_EQ(backend.state, EndpointState::draining);
 }
 
-// The list is late: a backend that is enabled again was most likely restarted meanwhile, and full load would
-// be too much for it.
-TEST(OperatorDisabled, AnEnabledBackendIsWarmingUpUntilTheListReportsItsStart) {
+// A backend was most likely restarted while it was disabled, but the endpoint list may report the start late.
+// Full load would overload it until then.
+TEST(OperatorDisabled, EnabledBackendIsWarmingUpUntilTheListReportsItsStart) {
   BalancerFixture fixture(2);
   Backend& backend = *fixture.backends[0];
 
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// When a backend that fails is ejected, and how it recovers.
+// Tests of the ejection of failing and unresponsive backends, and of their recovery.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(OutlierDetection, EjectsAFailingBackendAndReadmitsItStepByStep) {
+TEST(OutlierDetection, EjectsAFailingBackendAndReadmitsItOnRecovery) {
   BalancerFixture fixture(6);
   Backend& failing = *fixture.backends[0];
   const auto serve = [&](int sessions, bool has_recovered) {
@@ -33,7 +33,7 @@
   EXPECT_FALSE(failing.outlier.is_ejected());
 }
 
-// When all fail together the cause is shared: ejecting backends would overload the rest.
+// When all backends fail together the cause is shared, and ejecting backends would overload the rest.
 TEST(OutlierDetection, EjectsAtMostHalfWhenAllBackendsFailTogether) {
   BalancerFixture fixture(6);
 
@@ -49,7 +49,7 @@
   EXPECT_LE(ejected, 3);
 }
 
-TEST(OutlierDetection, EmptiesAnUnresponsiveBackendThatIsStillListedAsReady) {
+TEST(OutlierDetection, MigratesSessionsOfAnUnresponsiveBackendThatIsListedAsReady) {
   BalancerConfig config = default_config();
   config.may_check_health = true;
   BalancerFixture fixture(4, config);
@@ -64,13 +64,13 @@
     EXPECT_EQ(session->backend.get(), &unresponsive);
 }
 
-TEST(OutlierDetection, AnUnresponsiveBackendRecoversByHealthChecksAndKeepsItsCapacity) {
+TEST(OutlierDetection, UnresponsiveBackendRecoversByHealthChecksWithoutCapacityLimit) {
   BalancerConfig config = default_config();
   config.may_check_health = true;
   BalancerFixture fixture(4, config);
   fixture.establish_sessions(1, 12);
   Backend& unreachable = *fixture.sessions[0]->backend;
-  while (!unreachable.sessions.empty())  // the link breaks, and all sessions with it
+  while (!unreachable.sessions.empty())  // the link breaks and resets all sessions
     fixture.end_attempt(*unreachable.sessions.back(), AttemptResult::reset, true);
 
   fixture.answer_health_checks(unreachable, AttemptResult::timed_out, 400);
@@ -81,11 +81,13 @@
 
   const std::size_t before = fixture.attempts_to(unreachable);
   fixture.establish_sessions(1, 40);
-  EXPECT_GT(fixture.attempts_to(unreachable), before);  // losing all at once told nothing of its capacity,
-  EXPECT_LE(fixture.attempts_to(unreachable), before + 4);  // but it may have restarted, whatever is listed
+  // Losing all sessions at once says nothing about the capacity, but the backend may have restarted without
+  // discovery reporting it, so it counts as warming up.
+  EXPECT_GT(fixture.attempts_to(unreachable), before);
+  EXPECT_LE(fixture.attempts_to(unreachable), before + 4);
 }
 
-// A backend with few connection slots accepts now and then: that is no proof that it fails.
+// A backend that is short of connection slots refuses some connections, which does not make it an outlier.
 TEST(OutlierDetection, DoesNotEjectABackendThatRefusesSomeConnections) {
   BalancerFixture fixture(6);
   Backend& crowded = *fixture.backends[0];
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// When an attempt that ended is followed by another: idempotency, time limits, the retry budget.
+// Tests of RetryPolicy through Balancer: idempotency, attempt timeouts, the retry budget, pinned sessions.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(RetryPolicy, TriesAnotherBackendEachTimeWhileAttemptsRemain) {
+TEST(RetryPolicy, RetriesAtAnotherBackendUntilMaxAttempts) {
   BalancerFixture fixture(6);
   Session& session = fixture.request_session(3);
 
@@ -23,7 +23,7 @@
   EXPECT_EQ(fixture.final_answers(session), 1u);
 }
 
-TEST(RetryPolicy, AttemptTimeoutLeavesTimeForTwoMoreBeforeTheClientGivesUp) {
+TEST(RetryPolicy, AttemptTimeoutIsAtMostAThirdOfTheClientTimeout) {
   BalancerFixture fixture(3);
 
   const Session& session = fixture.request_session(1);
@@ -31,7 +31,7 @@
   EXPECT_LE(3 * fixture.actions.attempts[0].time_limit, session.traffic_class->client_timeout);
 }
 
-TEST(RetryPolicy, AttemptTimeoutGrowsWhileAllAttemptsTimeOut) {
+TEST(RetryPolicy, AttemptTimeoutGrowsWhenAllAttemptsTimeOut) {
   BalancerFixture fixture(6);
 
   for (std::uint64_t key = 1; key <= 10; ++key) {
@@ -43,12 +43,12 @@
   EXPECT_GT(fixture.actions.attempts.back().time_limit, 400 * kMillisecond);
 }
 
-TEST(RetryPolicy, NonIdempotentSessionIsFailedAndNotRetriedOnceItMayHaveRun) {
+TEST(RetryPolicy, NonIdempotentSessionFailsWithoutRetryOnceItMayHaveRun) {
   BalancerFixture fixture(3, default_config(Idempotency::non_idempotent));
   Session& session = fixture.request_session(1);
 
   fixture.end_attempt(session, AttemptResult::rejected);
-  EXPECT_EQ(fixture.actions.attempts.size(), 2u);  // a rejection proves that it has not run
+  EXPECT_EQ(fixture.actions.attempts.size(), 2u);  // a rejected attempt has not run, so a retry is safe
 
   fixture.end_attempt(session, AttemptResult::reset);
   EXPECT_EQ(fixture.actions.attempts.size(), 2u);
@@ -56,7 +56,7 @@
   EXPECT_TRUE(fixture.actions.rejections.empty());
 }
 
-TEST(RetryPolicy, NonIdempotentSessionStillUnansweredAtItsTimeoutIsFailed) {
+TEST(RetryPolicy, NonIdempotentSessionFailsIfUnansweredAtItsTimeout) {
   BalancerFixture fixture(3, default_config(Idempotency::non_idempotent));
   fixture.request_session(1);
 
@@ -79,7 +79,7 @@
 
   fixture.end_attempt(session, AttemptResult::error);
   fixture.end_attempt(session, AttemptResult::error);
-  // The zone's three backends are tried. A rejection would claim that none of them has run it.
+  // All three backends of the zone have been tried. A rejection would state that none of them has run it.
   EXPECT_EQ(fixture.actions.failed_sessions.size(), 1u);
 }
 
@@ -96,8 +96,9 @@
   EXPECT_EQ(fixture.actions.attempts.size(), 1u);
 }
 
-// The connection may take longer to come up than the window lasts.
-TEST(RetryPolicy, RetryMayNoLongerBeSentOnceItsDeduplicationWindowHasPassed) {
+// Connecting may take longer than the deduplication window, so the check is repeated before the request is
+// sent.
+TEST(RetryPolicy, RefusesRequestOfARetryAfterItsDeduplicationWindow) {
   BalancerConfig config = default_config(Idempotency::idempotency_key);
   config.traffic_classes[0].deduplication_window = 500 * kMillisecond;
   BalancerFixture fixture(3, config);
@@ -122,7 +123,7 @@
   return config;
 }
 
-// One backend after the other refuses: each session would be retried as often as it may be.
+// Every attempt fails to connect, so without a budget each session would use all its attempts.
 TEST(RetryPolicy, RetriesStayWithinTheBudgetInEveryWindow) {
   BalancerFixture fixture(8, retry_budget_config(1, 0.15));
   std::vector<Micros> requests;
@@ -135,20 +136,20 @@
       if (session.attempts > 1) retries.push_back(fixture.actions.current_time);
       fixture.end_attempt(session, AttemptResult::connect_failed);
     }
-    EXPECT_EQ(fixture.final_answers(session), 1u);  // at once, whatever is left of its time
+    EXPECT_EQ(fixture.final_answers(session), 1u);  // at once, however much time is left
     fixture.actions.advance(i < 150 ? 40 * kMillisecond : 700 * kMillisecond);
   }
 
   EXPECT_GE(retries.size(), 20u);
   for (const Micros at : retries) {
     const auto is_within = [at](Micros other) { return other <= at && other > at - 5 * kSecond; };
-    const auto requested = std::count_if(requests.begin(), requests.end(), is_within);
+    const auto admitted = std::count_if(requests.begin(), requests.end(), is_within);
     EXPECT_LE(std::count_if(retries.begin(), retries.end(), is_within),
-              1 + 0.15 * static_cast<double>(requested));
+              1 + 0.15 * static_cast<double>(admitted));
   }
 }
 
-TEST(RetryPolicy, SecondHalfOfTheBudgetIsReservedForHigherPriority) {
+TEST(RetryPolicy, ReservesSecondHalfOfTheBudgetForHigherPriority) {
   BalancerFixture fixture(8, retry_budget_config(4, 0));
 
   std::vector<unsigned> attempts;
@@ -163,7 +164,7 @@
   EXPECT_EQ(attempts, (std::vector<unsigned>{2, 2, 1, 2, 2, 1}));
 }
 
-TEST(RetryPolicy, RetryThatWasNotSentIsReturnedToTheBudget) {
+TEST(RetryPolicy, ReturnsARetryThatWasNotSentToTheBudget) {
   BalancerFixture fixture(3, retry_budget_config(1, 0));
   Session& session = fixture.request_session(1);
 
@@ -174,7 +175,7 @@
   EXPECT_EQ(session.attempts, 3u);
 }
 
-TEST(RetryPolicy, TwoProcessesOfOneRelaySpendOneBudget) {
+TEST(RetryPolicy, OnlyTheSuccessorSpendsTheBudgetAfterAHotRestart) {
   BalancerFixture first(3, retry_budget_config(1, 0));
   BalancerFixture second(3, retry_budget_config(1, 0));
 
@@ -190,7 +191,7 @@
   EXPECT_EQ(third.actions.attempts.size(), 1u);
 }
 
-// Of a client that waits for longer than the test runs.
+// The client's timeout is longer than the test runs.
 Session& request_session_pinned_to(std::size_t backend, BalancerFixture& fixture) {
   Session& session = fixture.make_session(1);
   session.deadline = fixture.actions.current_time + 40 * kSecond;
@@ -199,7 +200,7 @@
   return session;
 }
 
-TEST(RetryPolicy, APinnedSessionStaysAtItsBackendAndWaitsLongerForEachConnection) {
+TEST(RetryPolicy, PinnedSessionRetriesAtItsBackendWithGrowingConnectTimeout) {
   BalancerFixture fixture(5);
   Session& session = request_session_pinned_to(3, fixture);
 
@@ -218,7 +219,7 @@
   EXPECT_EQ(fixture.final_answers(session), 0U);
 }
 
-TEST(RetryPolicy, APinnedSessionHasNoMoreAttemptsThanAnyOther) {
+TEST(RetryPolicy, PinnedSessionHasNoMoreAttemptsThanOthers) {
   BalancerFixture fixture(5);
   Session& session = request_session_pinned_to(3, fixture);
 
--- a/tests/balancer/state_snapshot_test.cpp
+++ b/tests/balancer/state_snapshot_test.cpp
@@ -1,4 +1,4 @@
-// What a process hands to its successor, and what it leaves to it from then on.
+// Tests of the state that a process hands over to its successor in a hot restart.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -10,8 +10,8 @@
 namespace cherryrail::testing {
 namespace {
 
-// Two processes that use one relay's admission slots would send a warming-up backend twice its part.
-TEST(StateSnapshot, ARelayThatExportedItsStateSendsNothingToAWarmingUpBackend) {
+// Two processes that use the same relay's admission slots would send a warming-up backend twice its share.
+TEST(StateSnapshot, ExportingProcessStartsNoAttemptAtAWarmingUpBackend) {
   BalancerFixture fixture(1);
   const Backend& warming_up = fixture.add_backend(fixture.actions.current_time);
   fixture.balancer.export_state();
@@ -25,8 +25,9 @@
   EXPECT_EQ(fixture.attempts_to(*fixture.backends[0]), 40u);
 }
 
-// A relay that is replaced often would otherwise never know more than a few minutes of its backends.
-TEST(StateSnapshot, TheSuccessorKnowsWhatWasLearnedExceptOfBackendsThatRestarted) {
+// Without the handover, a relay that is hot-restarted often would only ever know a few minutes of its
+// backends' history.
+TEST(StateSnapshot, RestoresBackendStateExceptOfBackendsThatRestarted) {
   BalancerFixture fixture(3);
   for (int i = 0; i < 200 && !fixture.backends[0]->outlier.is_ejected(); ++i) {
     Session& session = fixture.request_session(static_cast<std::uint64_t>(i) + 1);
@@ -38,7 +39,7 @@
   ASSERT_TRUE(fixture.backends[0]->outlier.is_ejected());
   fixture.balancer.set_disabled(*fixture.backends[1], true);
   fixture.actions.advance(kSecond);
-  fixture.balancer.set_disabled(*fixture.backends[1], false);  // warming up from now on, as far as is known
+  fixture.balancer.set_disabled(*fixture.backends[1], false);  // counts as warming up from now on
 
   BalancerFixture successor(3);
   successor.actions.current_time = fixture.actions.current_time;
@@ -46,15 +47,15 @@
   EXPECT_TRUE(successor.backends[0]->outlier.is_ejected());
   EXPECT_EQ(successor.backends[1]->slow_start.started_at(), fixture.backends[1]->slow_start.started_at());
 
-  BalancerFixture better_informed(3);  // its list has a start that the other relay did not know of
+  BalancerFixture better_informed(3);  // its endpoint list has a start that the predecessor did not know
   better_informed.balancer.update_endpoint(better_informed.backends[0], EndpointState::ready, 1,
                                            better_informed.actions.current_time - kSecond);
   better_informed.balancer.import_state(fixture.balancer.export_state());
   EXPECT_FALSE(better_informed.backends[0]->outlier.is_ejected());
 }
 
-// The two processes read the wall clock at their starts, and it was set back by an hour in between.
-TEST(StateSnapshot, TimesMoveToTheSuccessorsClockAndWhatIsNoTimeStays) {
+// Both processes read the wall clock when they started, and it was set back by an hour in between.
+TEST(StateSnapshot, ShiftsTimesToTheSuccessorsClockExceptReservedValues) {
   constexpr Micros kShift = -3600 * kSecond;
   StateSnapshot snapshot;
   snapshot.balancer_started_at = 9000 * kSecond;
@@ -73,8 +74,8 @@
   EXPECT_EQ(snapshot.backends[0].capacity_reduced_at, 0);
 }
 
-// As for the largest fleet, whose state does not go in one message.
-TEST(StateSnapshot, PartsTakenInOneAfterTheOtherComeToTheWhole) {
+// The state of the largest fleet does not fit into one message.
+TEST(StateSnapshot, SplitPartsAreEquivalentToTheWhole) {
   StateSnapshot snapshot;
   snapshot.new_sessions = 7;
   snapshot.recent_retries = 3;
