--- a/src/simulator/adapter.hpp
+++ b/src/simulator/adapter.hpp
@@ -1,4 +1,4 @@
-// The simulator's wire: batches of events in, replies with commands out.
+// Entry point of the simulator's wire protocol: takes batches of events and returns replies with commands.
 #pragma once
 
 #include <cstddef>
@@ -14,23 +14,25 @@
 
 namespace cherryrail::simulator {
 
-// Plays the batches of one simulated day, with a BalancerInstance for each relay of the fleet. It does no I/O
-// of its own: the program reads the frames and writes the replies.
+// Processes the batches of one simulation run, with one BalancerInstance for each relay of the fleet. Does no
+// I/O: the program (main.cpp) reads the frames and writes the replies.
 class Adapter {
  public:
-  // The length of the frame that begins here, or 0 while too little is there to tell. Throws WireError.
+  // Length in bytes of the frame at the start of `bytes`, or 0 if the header is still incomplete. Throws
+  // WireError if the length field is shorter than the header.
   static std::size_t frame_length(std::string_view bytes);
-  // Plays one complete batch; the reply stays valid until the next call. Throws WireError on bad input; what
-  // a balancer throws ends the batch with a command that reports it.
-  std::string_view play(std::string_view frame);
+  // Processes one complete batch; the returned reply is valid until the next call. Throws WireError on
+  // malformed input. Any other exception comes from a balancer: it ends the batch and is reported to the
+  // simulator by a report_fault command.
+  std::string_view process_batch(std::string_view frame);
 
  private:
-  bool play_event(FrameReader& reader, Micros now);
-  void dispatch(EventCode code, std::uint16_t number, FrameReader& reader, Micros now);
-  void start_instance(std::uint16_t number, FrameReader& reader, Micros now);
-  BalancerInstance& find_instance(std::uint16_t number, const FrameReader& reader);
+  bool process_event(FrameReader& reader, Micros now);
+  void dispatch(EventCode code, std::uint16_t instance_id, FrameReader& reader, Micros now);
+  void start_instance(std::uint16_t instance_id, FrameReader& reader, Micros now);
+  BalancerInstance& find_instance(std::uint16_t instance_id, const FrameReader& reader);
 
-  FrameWriter reply_;  // before the instances, which write to it
+  FrameWriter reply_;  // declared before the instances, which hold a reference to it
   std::map<std::uint16_t, std::unique_ptr<BalancerInstance>> instances_;
 };
 
--- a/src/simulator/balancer_instance.hpp
+++ b/src/simulator/balancer_instance.hpp
@@ -1,4 +1,4 @@
-// One simulated relay: a Balancer, the sessions and backends it knows by the wire's ids, and its timers.
+// One simulated relay: a Balancer with its sessions, backends and timers, looked up by their ids on the wire.
 #pragma once
 
 #include <cstdint>
@@ -17,16 +17,16 @@
 
 namespace cherryrail::simulator {
 
-// Turns events into calls on the Balancer, and what the Balancer then does into commands of the reply. Made
-// by the Adapter for each instance that starts; it is destroyed when the simulator stops the instance.
+// Translates events into calls on the Balancer, and the Balancer's actions into commands of the reply. The
+// Adapter creates one when the simulator starts an instance and destroys it when the instance is stopped.
 class BalancerInstance final : public BalancerActions {
  public:
-  // `writer` outlives the instance; `now` is the clock of the batch in which the instance starts.
-  BalancerInstance(std::uint16_t number, FrameWriter& writer, Micros now,
+  // `writer` must outlive the instance; `now` is the clock of the batch that starts the instance.
+  BalancerInstance(std::uint16_t instance_id, FrameWriter& writer, Micros now,
                    const config::SiteSettings& settings, std::uint64_t seed);
 
-  // Reads the event behind `code` and acts on it. Throws WireError for a malformed one; what the Balancer
-  // throws passes through.
+  // Reads the fields of the event with this `code` and applies it. Throws WireError if the event is
+  // malformed; exceptions of the Balancer pass through.
   void handle(EventCode code, FrameReader& reader, Micros now);
 
   Micros now() const override { return now_; }
@@ -37,7 +37,7 @@
   void migrate_session(Session& session) override;
   void check_health(Backend& backend) override;
   void watch_endpoints() override;
-  void call_at(Micros when, std::function<void()> then) override;
+  void call_at(Micros when, std::function<void()> callback) override;
   void log(const std::string& line) override;
 
  private:
@@ -53,28 +53,28 @@
   void on_health_check_ended(const HealthCheckEnded& event);
   void on_client_left(std::uint32_t session_id);
   void on_session_update(const SessionUpdate& event);
-  void on_timer_expired(std::uint64_t timer);
+  void on_timer_expired(std::uint64_t timer_id);
 
   void add_backends(const std::vector<EndpointRecord>& endpoints);
   void remove_endpoints_missing_from(const std::vector<EndpointRecord>& endpoints);
   std::shared_ptr<SimulatorSession> add_session(const SessionRecord& record);
   SimulatorSession* find_session(std::uint32_t id) const;
-  void forget_if_over(std::uint32_t id);
-  void forget_answered_sessions();
+  void erase_if_finished(std::uint32_t id);
+  void erase_finished_sessions();
   static std::uint32_t id_of(const Session& session);
   static std::uint32_t id_of(const Backend& backend);
 
-  std::uint16_t number_;
+  std::uint16_t instance_id_;
   FrameWriter& writer_;
   Micros now_;
   EventFormat format_;
-  // Looked up by id only, never iterated: their order means nothing.
+  // Looked up by id only and never iterated, so their order does not matter.
   std::unordered_map<std::uint32_t, std::shared_ptr<SimulatorSession>> sessions_;
   std::unordered_map<std::uint64_t, std::function<void()>> timers_;
   std::map<std::uint32_t, std::shared_ptr<SimulatorBackend>> backends_;
-  std::vector<std::uint32_t> answered_sessions_;  // by the event under way
-  std::uint64_t last_timer_ = 0;
-  Balancer balancer_;  // last: it acts through the rest from its constructor on
+  std::vector<std::uint32_t> answered_sessions_;  // ids of those answered during the current event
+  std::uint64_t last_timer_id_ = 0;
+  Balancer balancer_;  // declared last: its constructor already calls actions that use the other members
 };
 
 }  // namespace cherryrail::simulator
--- a/src/simulator/events.cpp
+++ b/src/simulator/events.cpp
@@ -5,12 +5,12 @@
 namespace cherryrail::simulator {
 namespace {
 
-// Limits of what is believed; a figure beyond them is taken as absent.
-constexpr float kLargestUtilization = 1e6F;
-constexpr float kLargestWeight = 1e9F;
+// Plausibility limits: a value at or above its limit is treated as absent.
+constexpr float kMaxUtilization = 1e6F;
+constexpr float kMaxWeight = 1e9F;
 
-// The hint comes in milliseconds of work a second, loads are in microseconds.
-constexpr double kMicrosPerMilli = 1000;
+// The load hint on the wire is in milliseconds of work per second, the balancer's loads are in microseconds.
+constexpr double kMicrosPerMillisecond = 1000;
 
 EndpointState read_endpoint_state(std::uint8_t code, const FrameReader& reader) {
   switch (code) {
@@ -27,7 +27,7 @@
 
 EndpointRecord read_endpoint(FrameReader& reader) {
   EndpointRecord endpoint;
-  endpoint.backend = reader.read<std::uint32_t>("backend");
+  endpoint.backend_id = reader.read<std::uint32_t>("backend");
   endpoint.zone = reader.read<std::uint8_t>("area");
   reader.skip<std::uint8_t>("model");
   endpoint.cell = reader.read<std::uint16_t>("block");
@@ -35,13 +35,13 @@
   const auto weight = reader.read<float>("weight");
   endpoint.started_at = reader.read_time("since");
   endpoint.state = read_endpoint_state(state, reader);
-  const bool is_usable_weight = weight >= 0 && weight < kLargestWeight;
+  const bool is_usable_weight = weight >= 0 && weight < kMaxWeight;
   endpoint.weight = is_usable_weight ? static_cast<double>(weight) : 0;
   return endpoint;
 }
 
 AttemptResult read_attempt_result(FrameReader& reader) {
-  // By `disposition`, which counts from 1.
+  // Indexed by `disposition` - 1.
   static constexpr std::array kResults = {
       AttemptResult::succeeded,      AttemptResult::error, AttemptResult::rejected,  AttemptResult::timed_out,
       AttemptResult::connect_failed, AttemptResult::reset, AttemptResult::cancelled, AttemptResult::not_sent};
@@ -62,19 +62,19 @@
   const auto count = reader.read<std::uint8_t>("stats");
   for (std::size_t position = 0; position < count; ++position) {
     const auto value = reader.read<float>("stats");
-    const bool is_usable = value >= 0 && value < kLargestUtilization;
+    const bool is_usable = value >= 0 && value < kMaxUtilization;
     if (format.utilization_index == position && is_usable) report.reported_utilization = value;
   }
   return report;
 }
 
-// The attempt's number and backend, which the balancer knows by the session.
+// Skips the attempt's number and backend, which the balancer already knows from the session.
 void skip_attempt_identity(FrameReader& reader) {
   reader.skip<std::uint8_t>("send_no");
   reader.skip<std::uint32_t>("backend");
 }
 
-SessionRecord read_session_head(FrameReader& reader, const EventFormat& format) {
+SessionRecord read_session_id_and_class(FrameReader& reader, const EventFormat& format) {
   SessionRecord session;
   session.id = reader.read<std::uint32_t>("req");
   session.traffic_class = reader.read<std::uint8_t>("band");
@@ -87,12 +87,12 @@
   session.client_key = reader.read<std::uint64_t>("affinity");
 }
 
-void read_session_tail(FrameReader& reader, std::uint8_t flags, SessionRecord& session) {
+void read_session_attributes(FrameReader& reader, std::uint8_t flags, SessionRecord& session) {
   session.time_left = reader.read_time("expires_in");
   session.tenant = reader.read<std::uint32_t>("realm");
   const auto load_hint = reader.read<double>("work_hint");
   const bool has_load_hint = (flags & kHasLoadHint) != 0;
-  if (has_load_hint && load_hint > 0) session.load_hint = load_hint * kMicrosPerMilli;
+  if (has_load_hint && load_hint > 0) session.load_hint = load_hint * kMicrosPerMillisecond;
   session.is_mid_flow = (flags & kIsMidFlow) != 0;
   session.is_reconnecting = (flags & (kIsClientRetry | kIsReturningClient)) != 0;
 }
@@ -106,31 +106,31 @@
   if (mode > static_cast<std::uint8_t>(ListMode::cached)) reader.fail_unknown("list mode", mode);
   update.mode = static_cast<ListMode>(mode);
   const auto count = reader.read<std::uint32_t>("rows");
-  // No reserve: a count that is wrong must not make the process ask for gigabytes.
+  // No reserve(): a corrupt count must not make the process allocate gigabytes.
   for (std::uint32_t i = 0; i < count; ++i) update.endpoints.push_back(read_endpoint(reader));
   return update;
 }
 
 SessionRecord read_session_requested(FrameReader& reader, const EventFormat& format) {
-  SessionRecord session = read_session_head(reader, format);
+  SessionRecord session = read_session_id_and_class(reader, format);
   const auto flags = reader.read<std::uint8_t>("bitmap");
   read_session_keys(reader, session);
-  read_session_tail(reader, flags, session);
+  read_session_attributes(reader, flags, session);
   return session;
 }
 
 SessionRecord read_session_already_open(FrameReader& reader, const EventFormat& format) {
-  SessionRecord session = read_session_head(reader, format);
+  SessionRecord session = read_session_id_and_class(reader, format);
   read_session_keys(reader, session);
-  session.backend = reader.read<std::uint32_t>("backend");
+  session.backend_id = reader.read<std::uint32_t>("backend");
   const auto flags = reader.read<std::uint8_t>("bitmap");
-  read_session_tail(reader, flags, session);
+  read_session_attributes(reader, flags, session);
   return session;
 }
 
 AttemptEnded read_attempt_ended(FrameReader& reader, const EventFormat& format) {
   AttemptEnded event;
-  event.session = reader.read<std::uint32_t>("req");
+  event.session_id = reader.read<std::uint32_t>("req");
   skip_attempt_identity(reader);
   event.outcome = read_outcome(reader);
   event.is_session_finished = reader.read<std::uint8_t>("done_flag") != 0;
@@ -140,7 +140,7 @@
 
 SessionEstablished read_session_established(FrameReader& reader) {
   SessionEstablished event;
-  event.session = reader.read<std::uint32_t>("req");
+  event.session_id = reader.read<std::uint32_t>("req");
   skip_attempt_identity(reader);
   event.duration = reader.read_time("cost_time");
   return event;
@@ -148,7 +148,7 @@
 
 HealthCheckEnded read_health_check_ended(FrameReader& reader, const EventFormat& format) {
   HealthCheckEnded event;
-  event.backend = reader.read<std::uint32_t>("backend");
+  event.backend_id = reader.read<std::uint32_t>("backend");
   event.outcome = read_outcome(reader);
   event.report = read_load_report(reader, format);
   return event;
@@ -156,7 +156,7 @@
 
 SessionUpdate read_session_update(FrameReader& reader) {
   SessionUpdate event;
-  event.session = reader.read<std::uint32_t>("req");
+  event.session_id = reader.read<std::uint32_t>("req");
   skip_attempt_identity(reader);
   event.kind = static_cast<SessionUpdateKind>(reader.read<std::uint8_t>("what"));
   event.amount = static_cast<double>(reader.read<float>("amount"));
--- a/src/simulator/frame_reader.cpp
+++ b/src/simulator/frame_reader.cpp
@@ -5,13 +5,13 @@
 namespace cherryrail::simulator {
 namespace {
 
-// Milliseconds either way, some 30,000 years: beyond it sums of times in microseconds could overflow.
-constexpr double kLargestTime = 1e15;
+// Largest magnitude of a time, about 30,000 years: sums of larger times in microseconds could overflow.
+constexpr double kMaxTimeMs = 1e15;
 
 }  // namespace
 
 std::string_view FrameReader::read_bytes(std::size_t length, const char* field) {
-  if (length > remaining()) fail(std::string("the frame ends inside ") + field);
+  if (length > remaining()) fail(std::string("frame ends inside field ") + field);
   const std::string_view bytes = frame_.substr(position_, length);
   position_ += length;
   return bytes;
@@ -19,8 +19,8 @@
 
 Micros FrameReader::read_time(const char* field) {
   const auto milliseconds = read<double>(field);
-  const bool is_usable = milliseconds > -kLargestTime && milliseconds < kLargestTime;  // false for NaN
-  if (!is_usable) fail(std::string(field) + " is not a usable time");
+  const bool is_usable = milliseconds > -kMaxTimeMs && milliseconds < kMaxTimeMs;  // false for NaN
+  if (!is_usable) fail(std::string(field) + " is out of the range of times");
   return config::micros_from_milliseconds(milliseconds);
 }
 
--- a/src/simulator/frame_reader.hpp
+++ b/src/simulator/frame_reader.hpp
@@ -1,4 +1,4 @@
-// Reads the fields of one frame in the order in which they lie there.
+// Sequential reader for the fields of one frame.
 #pragma once
 
 #include <cstddef>
@@ -15,13 +15,13 @@
 
 namespace cherryrail::simulator {
 
-// A position in a frame. The bytes belong to the caller and have to outlive the reader. Every read throws
-// WireError, naming the field, where the frame ends before the field does.
+// Tracks the read position in a frame. The caller owns the bytes, which must outlive the reader. Every read
+// throws a WireError that names the field if the frame ends before the field does.
 class FrameReader {
  public:
   explicit FrameReader(std::string_view frame) : frame_(frame) {}
 
-  // The next field, of a number type of the wire.
+  // Reads the next field; `Value` is the field's numeric type on the wire.
   template <class Value>
   Value read(const char* field) {
     static_assert(std::is_trivially_copyable_v<Value>);
@@ -30,9 +30,10 @@
     return value;
   }
   std::string_view read_bytes(std::size_t length, const char* field);
-  // A time or duration, in milliseconds on the wire; throws WireError where it is too large to reckon with.
+  // Reads a time or duration, which is a double in milliseconds on the wire. Throws WireError if it is NaN or
+  // so large that sums of times could overflow.
   Micros read_time(const char* field);
-  // Passes over a field that the balancer has no use for.
+  // Skips a field that the balancer does not use.
   template <class Value>
   void skip(const char* field) {
     read_bytes(sizeof(Value), field);
@@ -40,7 +41,7 @@
   void skip_rest() { position_ = frame_.size(); }
 
   std::size_t remaining() const { return frame_.size() - position_; }
-  // Throws WireError at the present position.
+  // Throws a WireError for the current position; `value` is the field's invalid value.
   [[noreturn]] void fail(const std::string& problem, std::optional<std::uint64_t> value = std::nullopt) const;
   // Throws WireError for a code that the wire does not define: "unknown <what> <code>".
   [[noreturn]] void fail_unknown(const char* what, std::uint64_t code) const;
--- a/src/simulator/frame_writer.hpp
+++ b/src/simulator/frame_writer.hpp
@@ -1,4 +1,4 @@
-// Collects the commands of one reply.
+// Encodes the commands of one reply.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,20 @@
 
 namespace cherryrail::simulator {
 
-// One reply frame at a time: begin, the commands, finish. The buffer is kept from one reply to the next.
+// Builds one reply frame at a time: begin(), the commands, finish(). The buffer is reused for the next reply.
 class FrameWriter {
  public:
   void begin();
-  // A command of the instance with this number; `fields` are of the wire's types, in the wire's order.
+  // Appends a command of this instance; `fields` must have the wire's types and order.
   template <class... Fields>
   void write(CommandCode code, std::uint16_t instance, const Fields&... fields) {
     append(code);
     append(instance);
     (append(fields), ...);
   }
-  // A command whose one field is a text; what is over the wire's length is cut off.
+  // Appends a command whose only field is a text; a text that is too long for the wire is truncated.
   void write_text(CommandCode code, std::uint16_t instance, std::string_view text);
-  // The whole frame, valid until the next begin.
+  // Completes the header and returns the whole frame, which is valid until the next begin().
   std::string_view finish();
 
  private:
@@ -37,7 +37,7 @@
   std::string frame_;
 };
 
-// A time or duration as the wire has it.
-inline double milliseconds_of(Micros time) { return static_cast<double>(time) / 1000; }
+// Converts a time or duration to the wire's unit.
+inline double wire_milliseconds(Micros time) { return static_cast<double>(time) / 1000; }
 
 }  // namespace cherryrail::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,5 @@
-// cherryrail_benchlink: reads batches from standard input and writes one reply for each to standard output
-// until the input ends.
+// cherryrail_benchlink: connects the balancer to the simulator. Reads batches from standard input and writes
+// one reply to each to standard output until the input ends. Exits with 1 after an error.
 #include <unistd.h>
 
 #include <cerrno>
@@ -16,24 +16,24 @@
 using cherryrail::simulator::Adapter;
 using cherryrail::simulator::WireError;
 
-// The size at start, which most batches fit into; it doubles when a batch does not.
-constexpr std::size_t kInputBufferSize = 1 << 20;
+// Holds most batches; the buffer doubles when a batch does not fit.
+constexpr std::size_t kInitialInputBufferBytes = 1 << 20;
 
-// Standard input, a frame at a time.
+// Splits standard input into frames.
 class FrameInput {
  public:
-  // The next complete frame, valid until the next call; empty at the end of the input. Throws WireError for
-  // an input that ends inside a frame, std::system_error if it cannot be read.
+  // Returns the next complete frame, valid until the next call, or an empty view at the end of the input.
+  // Throws WireError if the input ends inside a frame and std::system_error if it cannot be read.
   std::string_view next() {
     release_frame();
     while (true) {
-      const std::string_view held(buffer_.data() + begin_, end_ - begin_);
-      const std::size_t length = Adapter::frame_length(held);
-      if (length != 0 && length <= held.size()) {
+      const std::string_view unprocessed(buffer_.data() + begin_, end_ - begin_);
+      const std::size_t length = Adapter::frame_length(unprocessed);
+      if (length != 0 && length <= unprocessed.size()) {
         frame_length_ = length;
-        return held.substr(0, length);
+        return unprocessed.substr(0, length);
       }
-      make_room();
+      reserve_read_space();
       if (!read_more()) return {};
     }
   }
@@ -47,17 +47,17 @@
     end_ = 0;
   }
 
-  void make_room() {
+  void reserve_read_space() {
     if (begin_ > 0) {
       std::memmove(buffer_.data(), buffer_.data() + begin_, end_ - begin_);
       end_ -= begin_;
       begin_ = 0;
     }
-    // It grows with what has come in, not with what a length field claims.
+    // The buffer grows with the bytes received, not with the length field, which may be corrupt.
     if (end_ == buffer_.size()) buffer_.resize(2 * buffer_.size());
   }
 
-  // False at the end of the input.
+  // Returns false at the end of the input.
   bool read_more() {
     while (true) {
       const ssize_t count = ::read(STDIN_FILENO, buffer_.data() + end_, buffer_.size() - end_);
@@ -66,20 +66,21 @@
         return true;
       }
       if (count == 0) break;
-      if (errno != EINTR) throw std::system_error(errno, std::generic_category(), "cannot read");
+      if (errno != EINTR)
+        throw std::system_error(errno, std::generic_category(), "cannot read standard input");
     }
     if (end_ > 0)
-      throw WireError("input ends inside a batch, after " + std::to_string(end_) + " of its bytes");
+      throw WireError("input ends inside a batch, after " + std::to_string(end_) + " bytes of it");
     return false;
   }
 
-  std::string buffer_ = std::string(kInputBufferSize, '\0');
-  std::size_t begin_ = 0;  // of what has been read and not been given out
-  std::size_t end_ = 0;
-  std::size_t frame_length_ = 0;  // of the frame given out last
+  std::string buffer_ = std::string(kInitialInputBufferBytes, '\0');
+  std::size_t begin_ = 0;         // start of the frame returned last, if any, and the unprocessed bytes
+  std::size_t end_ = 0;           // end of the bytes read
+  std::size_t frame_length_ = 0;  // of the frame returned last
 };
 
-// Throws std::system_error if standard output does not take them.
+// Writes to standard output. Throws std::system_error if that fails.
 void write_all(std::string_view bytes) {
   while (!bytes.empty()) {
     const ssize_t count = ::write(STDOUT_FILENO, bytes.data(), bytes.size());
@@ -87,7 +88,8 @@
       bytes.remove_prefix(static_cast<std::size_t>(count));
       continue;
     }
-    if (errno != EINTR) throw std::system_error(errno, std::generic_category(), "cannot write a reply");
+    if (errno != EINTR)
+      throw std::system_error(errno, std::generic_category(), "cannot write to standard output");
   }
 }
 
@@ -95,7 +97,7 @@
   Adapter adapter;
   FrameInput input;
   for (std::string_view frame = input.next(); !frame.empty(); frame = input.next()) {
-    write_all(adapter.play(frame));
+    write_all(adapter.process_batch(frame));
   }
 }
 
--- a/src/simulator/wire_codes.hpp
+++ b/src/simulator/wire_codes.hpp
@@ -1,4 +1,4 @@
-// The numbers of the simulator's wire and what they mean. Behind each name stands the wire's own word.
+// Numeric codes and header sizes of the simulator's wire. The comment after each code is its wire name.
 #pragma once
 
 #include <bit>
@@ -8,15 +8,15 @@
 namespace cherryrail::simulator {
 
 static_assert(std::endian::native == std::endian::little,
-              "the wire is little-endian and is read and written as it lies in memory");
+              "the wire is little-endian and its fields are copied to and from memory without conversion");
 
-// A batch begins with the clock (f64, milliseconds), the length of the whole frame (u32) and the number of
-// records (u32); a reply with the length of the whole frame (u32).
-constexpr std::size_t kBatchLengthOffset = 8;
-constexpr std::size_t kBatchHeaderSize = 16;
-constexpr std::size_t kReplyHeaderSize = 4;
+// Batch header: the clock (f64, milliseconds), the length of the whole frame in bytes (u32) and the number of
+// records (u32). Reply header: the length of the whole frame in bytes (u32).
+constexpr std::size_t kBatchLengthOffsetBytes = 8;
+constexpr std::size_t kBatchHeaderBytes = 16;
+constexpr std::size_t kReplyHeaderBytes = 4;
 
-// What happens to an instance. Events and commands have separate code spaces.
+// Events that the simulator sends to an instance. Events and commands have separate code spaces.
 enum class EventCode : std::uint16_t {
   health_check_ended = 1000,    // Health
   instance_stopped = 1010,      // Shutdown
@@ -32,7 +32,7 @@
   attempt_ended = 1110,         // Outcome
 };
 
-// What an instance has done.
+// Commands that an instance sends to the simulator.
 enum class CommandCode : std::uint16_t {
   start_attempt = 1000,    // Forward
   reject_session = 1010,   // Bounce
@@ -46,16 +46,16 @@
   migrate_session = 1120,  // Move
 };
 
-// The bits of a session's `bitmap`.
+// Flags in the `bitmap` field of a session.
 constexpr std::uint8_t kHasLoadHint = 1;
 constexpr std::uint8_t kIsClientRetry = 2;
 constexpr std::uint8_t kIsMidFlow = 8;
 constexpr std::uint8_t kIsReturningClient = 16;
 
-// The `mode` of an endpoint list.
+// Values of the `mode` field of an endpoint list.
 enum class ListMode : std::uint8_t { complete = 0, changes = 1, failed = 2, cached = 3 };
 
-// The `what` of a Heartbeat.
+// Values of the `what` field of a Heartbeat.
 enum class SessionUpdateKind : std::uint8_t { load = 1, message_latency = 2 };
 
 }  // namespace cherryrail::simulator
--- a/src/simulator/wire_error.hpp
+++ b/src/simulator/wire_error.hpp
@@ -1,4 +1,4 @@
-// What is wrong with bytes on the simulator's wire.
+// The error for malformed input on the simulator's wire.
 #pragma once
 
 #include <cstddef>
@@ -9,22 +9,23 @@
 
 namespace cherryrail::simulator {
 
-// A frame that cannot be played: the adapter has no way to go on behind it, so the process ends. what() is
-// the whole message for the reader of the log; the other two are its parts, where they are known.
+// A malformed frame. The adapter cannot find the start of the next valid record, so the process exits. what()
+// is the complete message; byte_offset() and value() are the parts of it that are known.
 class WireError : public std::runtime_error {
  public:
-  // An error that no single byte stands for.
+  // An error without a position in the frame.
   explicit WireError(const std::string& problem) : std::runtime_error(problem) {}
-  // An error found when `byte` bytes of the frame had been read; `value` is the field's value that is wrong.
-  WireError(std::size_t byte, const std::string& problem, std::optional<std::uint64_t> value = std::nullopt)
-      : std::runtime_error("at byte " + std::to_string(byte) + " of the batch: " + problem), byte_(byte),
-        value_(value) {}
+  // An error found after `byte_offset` bytes of the frame were read; `value` is the field's invalid value.
+  WireError(std::size_t byte_offset, const std::string& problem,
+            std::optional<std::uint64_t> value = std::nullopt)
+      : std::runtime_error("at byte " + std::to_string(byte_offset) + " of the batch: " + problem),
+        byte_offset_(byte_offset), value_(value) {}
 
-  std::optional<std::size_t> byte() const { return byte_; }
+  std::optional<std::size_t> byte_offset() const { return byte_offset_; }
   std::optional<std::uint64_t> value() const { return value_; }
 
  private:
-  std::optional<std::size_t> byte_;
+  std::optional<std::size_t> byte_offset_;
   std::optional<std::uint64_t> value_;
 };
 
