--- a/tests/proxy/proxy_shutdown_test.cpp
+++ b/tests/proxy/proxy_shutdown_test.cpp
@@ -174,7 +174,7 @@
 void hold_up_before_the_end(LoopbackRelay& relay, TestSocket& last_client) {
   call_after(relay, 5, [&] {
     if (last_client.is_ended_by_peer()) {
-      call_after(relay, 80, [] { fault_plan().hold_up_ms = 150; });
+      call_after(relay, 80, [] { fault_plan().next_wait_delay_ms = 150; });
     } else {
       hold_up_before_the_end(relay, last_client);
     }
@@ -190,7 +190,7 @@
   hold_up_before_the_end(relay, slow);
   EXPECT_LT(terminate(relay), kKilledAfter);
 
-  EXPECT_EQ(fault_plan().hold_up_ms, 0);
+  EXPECT_EQ(fault_plan().next_wait_delay_ms, 0);
 }
 
 TEST(ProxyShutdown, MigratesASessionThatIsRestoredMeanwhile) {
--- a/tests/support/fault_plan.hpp
+++ b/tests/support/fault_plan.hpp
@@ -27,7 +27,7 @@
   CallFaults send;                                  // send and sendmsg on TCP
   CallFaults watch;                                 // epoll_ctl
   std::atomic<std::int32_t> short_io_per_mille{0};  // recv, send and sendmsg on TCP that take a part only
-  std::atomic<std::int32_t> hold_up_ms{0};          // the next wait takes so much longer, once
+  std::atomic<std::int32_t> next_wait_delay_ms{0};  // the next wait takes so much longer, once
 };
 
 // The plan in force: that of the file which FAULT_PLAN names, else this process's own, which asks for
--- a/tests/support/fault_shim.cpp
+++ b/tests/support/fault_shim.cpp
@@ -93,7 +93,7 @@
 }
 
 void hold_up() {
-  const int milliseconds = fault_plan().hold_up_ms.exchange(0);
+  const int milliseconds = fault_plan().next_wait_delay_ms.exchange(0);
   if (milliseconds <= 0) return;
   const timespec duration{milliseconds / 1000, (milliseconds % 1000) * 1'000'000L};
   nanosleep(&duration, nullptr);
@@ -130,7 +130,7 @@
                              &plan.receive, &plan.hand_over, &plan.send, &plan.watch})
     reset(*faults);
   plan.short_io_per_mille = 0;
-  plan.hold_up_ms = 0;
+  plan.next_wait_delay_ms = 0;
 }
 
 }  // namespace cherryrail::testing
