--- a/tests/net/event_loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -35,11 +35,11 @@
     LoopbackRelay relay(1);
     relay.accept_watch();
 
-    fault_plan().watch.error_number = error;
-    fault_plan().watch.remaining = 4;  // the client's connection, then its backend's
+    fault_plan().epoll_ctl.error_number = error;
+    fault_plan().epoll_ctl.remaining = 4;  // the client's connection, then its backend's
     const EstablishedSession session = relay.establish_session("1");
 
-    EXPECT_EQ(fault_plan().watch.remaining, 0);
+    EXPECT_EQ(fault_plan().epoll_ctl.remaining, 0);
     EXPECT_TRUE(session.upstream) << error;
   }
 }
--- a/tests/support/fault_plan.hpp
+++ b/tests/support/fault_plan.hpp
@@ -25,7 +25,7 @@
   CallFaults receive;                               // recv; EINTR or an error of the connection
   CallFaults hand_over;                             // sendmsg on Unix sockets
   CallFaults send;                                  // send and sendmsg on TCP
-  CallFaults watch;                                 // epoll_ctl
+  CallFaults epoll_ctl;                             // epoll_ctl
   std::atomic<std::int32_t> short_io_per_mille{0};  // recv, send and sendmsg on TCP that take a part only
   std::atomic<std::int32_t> next_wait_delay_ms{0};  // the next wait takes so much longer, once
 };
--- a/tests/support/fault_shim.cpp
+++ b/tests/support/fault_shim.cpp
@@ -127,7 +127,7 @@
   FaultPlan& plan = fault_plan();
   plan.wall_clock_offset_us = 0;
   for (CallFaults* faults : {&plan.accept, &plan.socket, &plan.connect, &plan.storage, &plan.wait,
-                             &plan.receive, &plan.hand_over, &plan.send, &plan.watch})
+                             &plan.receive, &plan.hand_over, &plan.send, &plan.epoll_ctl})
     reset(*faults);
   plan.short_io_per_mille = 0;
   plan.next_wait_delay_ms = 0;
@@ -199,7 +199,7 @@
 
 int epoll_ctl(int fd, int operation, int watched_fd, epoll_event* event) noexcept {
   static const auto call = original<int(int, int, int, epoll_event*)>("epoll_ctl");
-  if (operation != EPOLL_CTL_DEL && cherryrail::testing::fails(fault_plan().watch)) return -1;
+  if (operation != EPOLL_CTL_DEL && cherryrail::testing::fails(fault_plan().epoll_ctl)) return -1;
   return call(fd, operation, watched_fd, event);
 }
 
