--- a/tests/admin/session_handover_test.cpp
+++ b/tests/admin/session_handover_test.cpp
@@ -21,7 +21,7 @@
   relay.run_for(60);
   torn.upstream.send("ne\r\n");
   relay.run_for(60);
-  EXPECT_TRUE(relay.first->is_empty());
+  EXPECT_TRUE(relay.first->has_nothing_to_hand_over());
 
   session.client.send("to you\r\n");
   session.upstream.send("to you, too\r\n");
@@ -56,7 +56,7 @@
   waiting_upstream.send("UP 6\r\n");
   EXPECT_TRUE(relay.run_until([&] { return waiting.received() == "UP 6\r\n"; }));
   relay.run_for(60);
-  EXPECT_TRUE(relay.first->is_empty());
+  EXPECT_TRUE(relay.first->has_nothing_to_hand_over());
   waiting.send("still\r\n");
   EXPECT_TRUE(relay.run_until([&] { return waiting_upstream.received().ends_with("still\r\n"); }));
 
--- a/tests/support/restarting_relay.cpp
+++ b/tests/support/restarting_relay.cpp
@@ -12,7 +12,7 @@
     : proxy(event_loop, relay_config),
       admin_services(std::make_unique<admin::AdminServices>(event_loop, proxy, relay_config)) {}
 
-bool RestartingRelay::Process::is_empty() {
+bool RestartingRelay::Process::has_nothing_to_hand_over() {
   return proxy.hand_over([](const proxy::OutgoingHandover&) { return false; });
 }
 
--- a/tests/support/restarting_relay.hpp
+++ b/tests/support/restarting_relay.hpp
@@ -18,7 +18,7 @@
 
     Process(net::EventLoop& event_loop, const config::RelayConfig& relay_config);
     // Whether it has handed over all that it had.
-    bool is_empty();
+    bool has_nothing_to_hand_over();
   };
 
   TemporaryFolder folder;
