--- a/src/simulator/events.hpp
+++ b/src/simulator/events.hpp
@@ -25,7 +25,7 @@
   unsigned cell = 0;
   EndpointState state = EndpointState::ready;
   double weight = 0;
-  Micros started_at = 0;  // 0: long ago
+  Micros started_at = 0;  // 0: long ago, no slow start
 };
 
 struct EndpointsUpdated {
--- a/tests/support/admin_relay.hpp
+++ b/tests/support/admin_relay.hpp
@@ -1,4 +1,4 @@
-// A loopback relay with its admin server.
+// A loopback relay that has an admin server.
 #pragma once
 
 #include <memory>
@@ -18,17 +18,18 @@
 
   explicit AdminRelay(std::size_t backend_count);
 
-  // A connection to the admin server that has sent this.
+  // Connects to the admin server and sends `text`.
   TestSocket connect_operator(std::string_view text) const;
-  // The first line of the response, up to the status.
+  // Waits for the end of the response and returns its status line up to the status code.
   std::string status_of(TestSocket connection);
-  // Has the admin server disable or enable a backend, and gives the status.
+  // Asks the admin server to "disable" or "enable" a backend and returns the response's status as
+  // status_of().
   std::string change_backend(const std::string& action, const std::string& uid);
 };
 
-// A whole request with a body.
+// A complete HTTP POST request.
 std::string http_post(const std::string& path, const std::string& body);
-// The uid of a loopback relay's backend.
+// The uid of a LoopbackRelay's backend.
 std::string backend_uid(std::size_t index);
 
 }  // namespace cherryrail::testing
--- a/tests/support/balancer_fixture.cpp
+++ b/tests/support/balancer_fixture.cpp
@@ -109,11 +109,11 @@
   balancer.on_health_check_ended(backend, {AttemptResult::succeeded, duration}, {utilization});
 }
 
-void BalancerFixture::answer_health_checks(Backend& odd_backend, AttemptResult result, int rounds) {
+void BalancerFixture::answer_health_checks(Backend& backend, AttemptResult result, int rounds) {
   for (int i = 0; i < rounds; ++i) {
-    for (Backend* backend : std::exchange(actions.health_checks, {})) {
-      const AttemptResult answer = backend == &odd_backend ? result : AttemptResult::succeeded;
-      balancer.on_health_check_ended(*backend, {answer, 10 * kMillisecond}, {});
+    for (Backend* checked : std::exchange(actions.health_checks, {})) {
+      const AttemptResult answer = checked == &backend ? result : AttemptResult::succeeded;
+      balancer.on_health_check_ended(*checked, {answer, 10 * kMillisecond}, {});
     }
     actions.advance(20 * kMillisecond);
   }
--- a/tests/support/balancer_fixture.hpp
+++ b/tests/support/balancer_fixture.hpp
@@ -1,4 +1,4 @@
-// A balancer on recorded actions, with ready backends, and short calls for what may happen to it.
+// Test fixture: a balancer whose actions are recorded, with ready backends and shorthands for its events.
 #pragma once
 
 #include <cstddef>
@@ -11,13 +11,13 @@
 
 namespace cherryrail::testing {
 
-// One traffic class, four attempts, cancelling and retry advice allowed, no health checks.
+// One traffic class, at most four attempts, may cancel attempts and send retry-after, no health checks.
 BalancerConfig default_config(Idempotency idempotency = Idempotency::idempotent);
 
-// The same with health checks, as one of so many relays.
+// default_config() with health checks, in a fleet of `relay_count` relays.
 BalancerConfig health_check_config(unsigned relay_count);
 
-// The same with a price on sessions that leave their zone.
+// default_config() with a price on cross-zone sessions.
 BalancerConfig zone_aware_config();
 
 struct BalancerFixture {
@@ -26,39 +26,40 @@
   std::vector<std::shared_ptr<Backend>> backends;
   std::vector<std::shared_ptr<Session>> sessions;
 
-  // The backends are warm and stand in zones 1 and 0 by turns.
+  // The backends are past their slow start and alternate between zones 1 and 0.
   explicit BalancerFixture(std::size_t backend_count, const BalancerConfig& config = default_config());
 
-  // A ready backend that started then; 0 is long ago.
+  // Adds a ready backend; a `started_at` of 0 means long ago, so that there is no slow start.
   Backend& add_backend(Micros started_at, std::optional<unsigned> zone = {});
   void set_endpoint_state(std::size_t index, EndpointState state);
 
-  // A session that the balancer does not know yet.
+  // Creates a session that the balancer does not know yet.
   Session& make_session(std::uint64_t client_key);
-  // A new session, admitted: its first attempt is out, or it is rejected.
+  // Creates a session and has the balancer admit it: its first attempt has started, or it is rejected.
   Session& request_session(std::uint64_t client_key);
-  // A new session whose first attempt, if there is one, succeeds.
+  // request_session(), then reports the first attempt, if there is one, as established.
   Session& establish_session(std::uint64_t client_key);
 
-  // So many established sessions, with the keys from this one on.
+  // Establishes `count` sessions with consecutive client keys.
   void establish_sessions(std::uint64_t first_key, std::uint64_t count);
-  // As request_session, for a client that had a session before.
+  // request_session() for a client that had a session before.
   Session& request_reconnect(std::uint64_t client_key);
 
-  // The attempt, or the established session where `is_final`, ends with this result.
+  // Ends the session's current attempt with `result`; `is_final` also ends the session.
   void end_attempt(Session& session, AttemptResult result, bool is_final = false);
-  // The clients told to migrate leave; the record of them is empty afterwards.
+  // Ends the sessions that the balancer asked to migrate and clears their record.
   void end_migrated_sessions();
 
-  // Message latency as measured on the first session that the backend holds.
+  // Reports a message latency for the first session of the backend.
   void report_message_latency(const Backend& backend, Micros latency);
-  // Utilization as told by the answer to a health check.
+  // Reports a utilization in the response to a health check that took `duration`.
   void report_utilization(Backend& backend, double utilization, Micros duration = kMillisecond);
-  // Lets 20 ms pass a round while health checks are answered: of this backend so, of the others well.
-  void answer_health_checks(Backend& odd_backend, AttemptResult result, int rounds);
+  // In each round answers the pending health checks, with `result` for `backend` and with success for all
+  // others, and then lets 20 ms pass.
+  void answer_health_checks(Backend& backend, AttemptResult result, int rounds);
 
   std::size_t attempts_to(const Backend& backend) const;
-  // How often the session's client was rejected or failed; an established session has none.
+  // Number of rejections and failures sent to the session's client; 0 for an established session.
   std::size_t final_answers(const Session& session) const;
 };
 
--- a/tests/support/descriptor_limits.hpp
+++ b/tests/support/descriptor_limits.hpp
@@ -1,4 +1,4 @@
-// The process's limit on descriptors in a test's hands.
+// Helpers for tests that change the process's limit on open descriptors.
 #pragma once
 
 #include <sys/resource.h>
@@ -6,8 +6,8 @@
 
 namespace cherryrail::testing {
 
-// Puts the limit back when it ends: a relay that reads its configuration sets it, and other tests may share
-// the process.
+// Restores the limit in its destructor: a relay sets the limit when it reads its configuration, and other
+// tests may run in the same process.
 class DescriptorLimitScope {
  public:
   DescriptorLimitScope() { getrlimit(RLIMIT_NOFILE, &before_); }
@@ -15,19 +15,19 @@
   DescriptorLimitScope(const DescriptorLimitScope&) = delete;
   DescriptorLimitScope& operator=(const DescriptorLimitScope&) = delete;
 
-  rlim_t highest() const { return before_.rlim_max; }
+  rlim_t hard_limit() const { return before_.rlim_max; }
 
  private:
   rlimit before_{};
 };
 
-// While it lives, this process can open nothing more.
+// As long as this object exists, the process cannot open another descriptor.
 class NoDescriptorsLeft {
  public:
   NoDescriptorsLeft() {
     const int lowest_free = dup(STDIN_FILENO);
     close(lowest_free);
-    const rlimit none_left{static_cast<rlim_t>(lowest_free), scope_.highest()};
+    const rlimit none_left{static_cast<rlim_t>(lowest_free), scope_.hard_limit()};
     setrlimit(RLIMIT_NOFILE, &none_left);
   }
 
--- a/tests/support/fault_plan.hpp
+++ b/tests/support/fault_plan.hpp
@@ -1,4 +1,4 @@
-// What tests and the soak ask of the fault shim: which system calls fail, and how far the wall clock is off.
+// Controls of the fault shim for tests and the soak test: failing system calls and the wall clock's offset.
 #pragma once
 
 #include <atomic>
@@ -6,35 +6,35 @@
 
 namespace cherryrail::testing {
 
-// Makes a kind of system call fail. All members may be written while the calls are made.
+// Makes one kind of system call fail. The members may be changed while other threads or processes make calls.
 struct CallFaults {
-  std::atomic<std::int32_t> error_number{0};  // as errno; 0: the kind never fails
-  std::atomic<std::int32_t> remaining{0};     // so many of the next calls fail
-  std::atomic<std::int32_t> per_mille{0};     // beside those, so many of a thousand
+  std::atomic<std::int32_t> error_number{0};  // the errno to set; 0: no call of this kind fails
+  std::atomic<std::int32_t> remaining{0};     // number of next calls that fail
+  std::atomic<std::int32_t> per_mille{0};     // share of the other calls that fail
 };
 
-// Shared with the soak driver as a mapped file: tests/soak/fault_plan.py knows the order of the members,
-// which are all of 4 bytes but for the first.
+// Shared with the soak driver as a memory-mapped file. The order of the members has to match
+// tests/soak/fault_plan.py; the first has 8 bytes, all others are fields of 4 bytes.
 struct FaultPlan {
   std::atomic<std::int64_t> wall_clock_offset_us{0};  // added to the system's wall clock
   CallFaults accept;                                  // accept, accept4
   CallFaults socket;
-  CallFaults connect;                               // TCP alone
-  CallFaults storage;                               // write, fsync and rename of regular files
-  CallFaults wait;                                  // epoll_wait and poll, with EINTR as a rule
-  CallFaults receive;                               // recv; EINTR or an error of the connection
+  CallFaults connect;                               // TCP only
+  CallFaults storage;                               // write to regular files, fsync, rename
+  CallFaults wait;                                  // epoll_wait, poll; usually with EINTR
+  CallFaults receive;                               // recv, with EINTR or a connection error
   CallFaults hand_over;                             // sendmsg on Unix sockets
   CallFaults send;                                  // send and sendmsg on TCP
-  CallFaults epoll_ctl;                             // epoll_ctl
-  std::atomic<std::int32_t> short_io_per_mille{0};  // recv, send and sendmsg on TCP that take a part only
-  std::atomic<std::int32_t> next_wait_delay_ms{0};  // the next wait takes so much longer, once
+  CallFaults epoll_ctl;                             // to add or modify a descriptor; removing one never fails
+  std::atomic<std::int32_t> short_io_per_mille{0};  // share of partial recv, send and sendmsg on TCP
+  std::atomic<std::int32_t> next_wait_delay_ms{0};  // delays the next poll once
 };
 
-// The plan in force: that of the file which FAULT_PLAN names, else this process's own, which asks for
-// nothing.
+// The plan in effect: the file named by the environment variable FAULT_PLAN, or else a plan of this process,
+// which at first injects no faults.
 FaultPlan& fault_plan();
 
-// Puts everything back to a sound system when it ends.
+// Clears the plan in its destructor, so that no fault outlives the test.
 class FaultPlanScope {
  public:
   FaultPlanScope() = default;
--- a/tests/support/fault_shim.cpp
+++ b/tests/support/fault_shim.cpp
@@ -1,5 +1,5 @@
-// Stands in for system calls and lets them fail as their manual pages allow. Linked into the tests it covers
-// this process; as a library of its own, preloaded, it covers a relay of the soak.
+// Interposes system calls to inject faults that their manual pages allow. Linked into the tests, it covers
+// the test process; as a shared library loaded by LD_PRELOAD, it covers a relay of the soak test.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -24,13 +24,13 @@
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 constexpr std::int64_t kNanosPerMicro = 1'000;
 
-// The function that this file hides.
+// The C library's function, which the one of the same name in this file interposes.
 template <class Function>
-Function* original(const char* name) {
+Function* real_function(const char* name) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
 
-// A xorshift generator: the standard ones are too large to be set up within a system call.
+// A xorshift generator: the standard library's generators are too large to initialize inside a system call.
 unsigned next_random() {
   static std::atomic<unsigned> state{static_cast<unsigned>(getpid()) * 2654435761U + 1};
   unsigned value = state.load();
@@ -41,11 +41,11 @@
   return value;
 }
 
-bool happens(int per_mille) {
+bool happens_with_probability(int per_mille) {
   return per_mille > 0 && static_cast<int>(next_random() % kPerMille) < per_mille;
 }
 
-bool take_one(std::atomic<std::int32_t>& remaining) {
+bool consume_one(std::atomic<std::int32_t>& remaining) {
   std::int32_t left = remaining.load();
   while (left > 0) {
     if (remaining.compare_exchange_weak(left, left - 1)) return true;
@@ -53,11 +53,11 @@
   return false;
 }
 
-// Whether this call is to fail; then errno is set.
-bool fails(CallFaults& faults) {
+// Whether to fail this call; if so, sets errno.
+bool should_fail(CallFaults& faults) {
   const int error_number = faults.error_number.load();
   if (error_number == 0) return false;
-  if (!take_one(faults.remaining) && !happens(faults.per_mille.load())) return false;
+  if (!consume_one(faults.remaining) && !happens_with_probability(faults.per_mille.load())) return false;
   errno = error_number;
   return true;
 }
@@ -70,14 +70,14 @@
 
 bool is_tcp(int fd) { return has_domain(fd, AF_INET); }
 
-bool hand_over_fails(int fd) {
+bool handover_should_fail(int fd) {
   CallFaults& faults = fault_plan().hand_over;
-  return faults.error_number.load() != 0 && has_domain(fd, AF_UNIX) && fails(faults);
+  return faults.error_number.load() != 0 && has_domain(fd, AF_UNIX) && should_fail(faults);
 }
 
-bool send_fails(int fd) {
+bool send_should_fail(int fd) {
   CallFaults& faults = fault_plan().send;
-  return faults.error_number.load() != 0 && is_tcp(fd) && fails(faults);
+  return faults.error_number.load() != 0 && is_tcp(fd) && should_fail(faults);
 }
 
 bool is_regular_file(int fd) {
@@ -85,21 +85,21 @@
   return fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-// A part of the size where the plan asks for it.
-std::size_t cut(int fd, std::size_t size) {
+// Returns `size`, or a random smaller size of at least 1 if the plan asks for short transfers.
+std::size_t shorten_transfer(int fd, std::size_t size) {
   const int per_mille = fault_plan().short_io_per_mille.load();
-  if (size < 2 || !happens(per_mille) || !is_tcp(fd)) return size;
+  if (size < 2 || !happens_with_probability(per_mille) || !is_tcp(fd)) return size;
   return 1 + next_random() % (size - 1);
 }
 
-void hold_up() {
+void delay_wait() {
   const int milliseconds = fault_plan().next_wait_delay_ms.exchange(0);
   if (milliseconds <= 0) return;
   const timespec duration{milliseconds / 1000, (milliseconds % 1000) * 1'000'000L};
   nanosleep(&duration, nullptr);
 }
 
-FaultPlan* map_plan() {
+FaultPlan* map_plan_file() {
   const char* const path = std::getenv("FAULT_PLAN");
   if (path == nullptr) return nullptr;
   const int fd = open(path, O_RDWR | O_CLOEXEC);
@@ -109,7 +109,7 @@
   return memory == MAP_FAILED ? nullptr : static_cast<FaultPlan*>(memory);
 }
 
-void reset(CallFaults& faults) {
+void clear(CallFaults& faults) {
   faults.error_number = 0;
   faults.remaining = 0;
   faults.per_mille = 0;
@@ -119,7 +119,7 @@
 
 FaultPlan& fault_plan() {
   static FaultPlan own;
-  static FaultPlan* const mapped = map_plan();
+  static FaultPlan* const mapped = map_plan_file();
   return mapped != nullptr ? *mapped : own;
 }
 
@@ -128,7 +128,7 @@
   plan.wall_clock_offset_us = 0;
   for (CallFaults* faults : {&plan.accept, &plan.socket, &plan.connect, &plan.storage, &plan.wait,
                              &plan.receive, &plan.hand_over, &plan.send, &plan.epoll_ctl})
-    reset(*faults);
+    clear(*faults);
   plan.short_io_per_mille = 0;
   plan.next_wait_delay_ms = 0;
 }
@@ -136,104 +136,104 @@
 }  // namespace cherryrail::testing
 
 using cherryrail::testing::fault_plan;
-using cherryrail::testing::original;
+using cherryrail::testing::real_function;
 
-// The names and forms are the C library's.
+// Names and signatures are those of the C library.
 extern "C" {
 
 int accept(int fd, sockaddr* address, socklen_t* size) {
-  static const auto call = original<int(int, sockaddr*, socklen_t*)>("accept");
-  if (cherryrail::testing::fails(fault_plan().accept)) return -1;
-  return call(fd, address, size);
+  static const auto real_call = real_function<int(int, sockaddr*, socklen_t*)>("accept");
+  if (cherryrail::testing::should_fail(fault_plan().accept)) return -1;
+  return real_call(fd, address, size);
 }
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
-  static const auto call = original<int(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (cherryrail::testing::fails(fault_plan().accept)) return -1;
-  return call(fd, address, size, flags);
+  static const auto real_call = real_function<int(int, sockaddr*, socklen_t*, int)>("accept4");
+  if (cherryrail::testing::should_fail(fault_plan().accept)) return -1;
+  return real_call(fd, address, size, flags);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-  static const auto call = original<int(int, int, int)>("socket");
-  if (domain == AF_INET && cherryrail::testing::fails(fault_plan().socket)) return -1;
-  return call(domain, type, protocol);
+  static const auto real_call = real_function<int(int, int, int)>("socket");
+  if (domain == AF_INET && cherryrail::testing::should_fail(fault_plan().socket)) return -1;
+  return real_call(domain, type, protocol);
 }
 
 int connect(int fd, const sockaddr* address, socklen_t size) {
-  static const auto call = original<int(int, const sockaddr*, socklen_t)>("connect");
-  if (address->sa_family == AF_INET && cherryrail::testing::fails(fault_plan().connect)) return -1;
-  return call(fd, address, size);
+  static const auto real_call = real_function<int(int, const sockaddr*, socklen_t)>("connect");
+  if (address->sa_family == AF_INET && cherryrail::testing::should_fail(fault_plan().connect)) return -1;
+  return real_call(fd, address, size);
 }
 
 ssize_t recv(int fd, void* buffer, std::size_t size, int flags) {
-  static const auto call = original<ssize_t(int, void*, std::size_t, int)>("recv");
-  if (cherryrail::testing::fails(fault_plan().receive)) return -1;
-  return call(fd, buffer, cherryrail::testing::cut(fd, size), flags);
+  static const auto real_call = real_function<ssize_t(int, void*, std::size_t, int)>("recv");
+  if (cherryrail::testing::should_fail(fault_plan().receive)) return -1;
+  return real_call(fd, buffer, cherryrail::testing::shorten_transfer(fd, size), flags);
 }
 
 ssize_t send(int fd, const void* buffer, std::size_t size, int flags) {
-  static const auto call = original<ssize_t(int, const void*, std::size_t, int)>("send");
-  if (cherryrail::testing::send_fails(fd)) return -1;
-  return call(fd, buffer, cherryrail::testing::cut(fd, size), flags);
+  static const auto real_call = real_function<ssize_t(int, const void*, std::size_t, int)>("send");
+  if (cherryrail::testing::send_should_fail(fd)) return -1;
+  return real_call(fd, buffer, cherryrail::testing::shorten_transfer(fd, size), flags);
 }
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
-  static const auto call = original<ssize_t(int, const msghdr*, int)>("sendmsg");
-  if (cherryrail::testing::hand_over_fails(fd) || cherryrail::testing::send_fails(fd)) return -1;
-  if (message->msg_iovlen == 0) return call(fd, message, flags);
+  static const auto real_call = real_function<ssize_t(int, const msghdr*, int)>("sendmsg");
+  if (cherryrail::testing::handover_should_fail(fd) || cherryrail::testing::send_should_fail(fd)) return -1;
+  if (message->msg_iovlen == 0) return real_call(fd, message, flags);
   const std::size_t first = message->msg_iov[0].iov_len;
-  const std::size_t part = cherryrail::testing::cut(fd, first);
-  if (part == first) return call(fd, message, flags);
+  const std::size_t part = cherryrail::testing::shorten_transfer(fd, first);
+  if (part == first) return real_call(fd, message, flags);
   iovec piece{message->msg_iov[0].iov_base, part};
   msghdr shortened = *message;
   shortened.msg_iov = &piece;
   shortened.msg_iovlen = 1;
-  return call(fd, &shortened, flags);
+  return real_call(fd, &shortened, flags);
 }
 
 int epoll_wait(int fd, epoll_event* events, int count, int timeout) {
-  static const auto call = original<int(int, epoll_event*, int, int)>("epoll_wait");
-  if (cherryrail::testing::fails(fault_plan().wait)) return -1;
-  return call(fd, events, count, timeout);
+  static const auto real_call = real_function<int(int, epoll_event*, int, int)>("epoll_wait");
+  if (cherryrail::testing::should_fail(fault_plan().wait)) return -1;
+  return real_call(fd, events, count, timeout);
 }
 
 int epoll_ctl(int fd, int operation, int watched_fd, epoll_event* event) noexcept {
-  static const auto call = original<int(int, int, int, epoll_event*)>("epoll_ctl");
-  if (operation != EPOLL_CTL_DEL && cherryrail::testing::fails(fault_plan().epoll_ctl)) return -1;
-  return call(fd, operation, watched_fd, event);
+  static const auto real_call = real_function<int(int, int, int, epoll_event*)>("epoll_ctl");
+  if (operation != EPOLL_CTL_DEL && cherryrail::testing::should_fail(fault_plan().epoll_ctl)) return -1;
+  return real_call(fd, operation, watched_fd, event);
 }
 
 int poll(pollfd* descriptors, nfds_t count, int timeout) {
-  static const auto call = original<int(pollfd*, nfds_t, int)>("poll");
-  cherryrail::testing::hold_up();
-  if (cherryrail::testing::fails(fault_plan().wait)) return -1;
-  return call(descriptors, count, timeout);
+  static const auto real_call = real_function<int(pollfd*, nfds_t, int)>("poll");
+  cherryrail::testing::delay_wait();
+  if (cherryrail::testing::should_fail(fault_plan().wait)) return -1;
+  return real_call(descriptors, count, timeout);
 }
 
 ssize_t write(int fd, const void* buffer, std::size_t size) {
-  static const auto call = original<ssize_t(int, const void*, std::size_t)>("write");
+  static const auto real_call = real_function<ssize_t(int, const void*, std::size_t)>("write");
   auto& faults = fault_plan().storage;
   const bool may_fail = faults.error_number.load() != 0 && cherryrail::testing::is_regular_file(fd);
-  if (!may_fail || !cherryrail::testing::fails(faults)) return call(fd, buffer, size);
-  if (size > 1) return call(fd, buffer, size / 2);  // a full disk takes what fits
+  if (!may_fail || !cherryrail::testing::should_fail(faults)) return real_call(fd, buffer, size);
+  if (size > 1) return real_call(fd, buffer, size / 2);  // a disk that fills up takes only a part
   return -1;
 }
 
 int fsync(int fd) {
-  static const auto call = original<int(int)>("fsync");
-  if (cherryrail::testing::fails(fault_plan().storage)) return -1;
-  return call(fd);
+  static const auto real_call = real_function<int(int)>("fsync");
+  if (cherryrail::testing::should_fail(fault_plan().storage)) return -1;
+  return real_call(fd);
 }
 
 int rename(const char* from, const char* to) noexcept {
-  static const auto call = original<int(const char*, const char*)>("rename");
-  if (cherryrail::testing::fails(fault_plan().storage)) return -1;
-  return call(from, to);
+  static const auto real_call = real_function<int(const char*, const char*)>("rename");
+  if (cherryrail::testing::should_fail(fault_plan().storage)) return -1;
+  return real_call(from, to);
 }
 
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
-  static const auto call = original<int(clockid_t, timespec*)>("clock_gettime");
-  const int result = call(clock, time);
+  static const auto real_call = real_function<int(clockid_t, timespec*)>("clock_gettime");
+  const int result = real_call(clock, time);
   const std::int64_t offset = fault_plan().wall_clock_offset_us.load();
   if (result != 0 || clock != CLOCK_REALTIME || offset == 0) return result;
   using cherryrail::testing::kMicrosPerSecond;
@@ -245,8 +245,8 @@
 }
 
 int gettimeofday(timeval* time, void* zone) noexcept {
-  static const auto call = original<int(timeval*, void*)>("gettimeofday");
-  const int result = call(time, zone);
+  static const auto real_call = real_function<int(timeval*, void*)>("gettimeofday");
+  const int result = real_call(time, zone);
   using cherryrail::testing::kMicrosPerSecond;
   const std::int64_t micros =
       time->tv_sec * kMicrosPerSecond + time->tv_usec + fault_plan().wall_clock_offset_us.load();
--- a/tests/support/loopback_relay.hpp
+++ b/tests/support/loopback_relay.hpp
@@ -1,4 +1,4 @@
-// A relay on loopback sockets, with its clients, backends and discovery in the test's hands.
+// Test fixture: a relay on loopback sockets whose clients, backends and discovery are played by the test.
 #pragma once
 
 #include <cstddef>
@@ -15,14 +15,14 @@
 
 namespace cherryrail::testing {
 
-// The text as one chunk of a chunked HTTP body.
+// Encodes `text` as one chunk of a chunked HTTP body.
 std::string http_chunk(const std::string& text);
 
-// What discovery sends: only what changed, or all endpoints.
+// Messages of discovery: an endpoint list with only the changed endpoints, or one with all of them.
 std::string endpoint_changes(int revision, const std::vector<std::string>& endpoints);
 std::string endpoint_snapshot(int revision, const std::vector<std::string>& endpoints);
 
-// The far ends of a session's two connections.
+// The peers of the relay's two connections for a session.
 struct EstablishedSession {
   TestSocket client;
   TestSocket upstream;
@@ -32,46 +32,47 @@
   DescriptorLimitScope descriptor_limit;
   std::vector<TestSocket> backends;
   TestSocket discovery = TestSocket::listening();
-  TestSocket watch;  // the relay's connection at discovery, once a test has accepted it
+  TestSocket watch;  // the relay's connection to discovery; empty until accept_watch()
   net::EventLoop event_loop;
   config::RelayConfig relay_config;
   std::unique_ptr<proxy::ProxyServer> proxy;
   int port = 0;
 
-  // A relay that knows so many backends and may use so many descriptors; `extra_settings` are JSON members
-  // that begin with a comma and override the test's own. Without `starts_now` the test makes the proxy.
+  // A relay with `backend_count` known backends. `extra_settings` are JSON members that start with a comma
+  // and override those of config_text(). With `starts_now` false the test has to create the proxy itself.
   explicit LoopbackRelay(std::size_t backend_count, std::size_t max_descriptors = 500,
                          const std::string& extra_settings = "", bool starts_now = true);
 
-  // A backend as endpoint lists name it; its state is "active" or "leaving".
+  // A backend's JSON entry for an endpoint list; `state` is "active" or "leaving".
   std::string endpoint(std::size_t index, const char* state) const;
   std::string config_text(std::size_t max_descriptors, const std::string& extra_settings = "") const;
 
-  // Runs the event loop until the condition holds; false where it does not come to that in time.
+  // Runs the event loop until the condition holds; returns false if it does not within the time limit.
   bool run_until(const std::function<bool()>& condition, int milliseconds = 2000);
   void run_for(int milliseconds);
 
   TestSocket connect_client(std::string_view first_bytes) const;
-  // The connection of the next attempt at any backend, once its open request is whole.
+  // Accepts the connection of the next attempt to any backend and waits for its complete open request.
   TestSocket accept_attempt();
-  // The connection of the next attempt at any backend, at the instant in which the relay has asked for it:
-  // the relay learns at its next turn that it is up.
+  // Accepts the connection of the next attempt to any backend and returns before the event loop has notified
+  // the relay that the connection is established.
   TestSocket accept_connection();
-  // The next connection at a listener, empty where none comes in time.
+  // Accepts the next connection of a listener; returns an empty socket if none arrives in time.
   TestSocket accept_from(const TestSocket& listener, int milliseconds = 2000);
-  // Whether an attempt has reached a backend that the test has not accepted.
+  // Whether a backend has a pending connection on which data has arrived. Accepts and closes the connections
+  // that it examines.
   bool has_unaccepted_attempt() const;
-  // The relay must close this connection without having sent a byte on it.
+  // Expects the relay to close this connection without sending any data on it.
   void expect_ended_unused(TestSocket& connection);
   EstablishedSession establish_session(const std::string& session_id);
-  // Whose connection that is, as an index of `backends`.
+  // Index in `backends` of the backend that accepted this connection.
   std::size_t backend_index(const TestSocket& connection) const;
 
-  // Accepts the relay's connection at discovery, begins the answer, and gives what the relay asked.
+  // Accepts the relay's connection to discovery, sends the response header and returns the relay's request.
   std::string accept_watch();
-  // Sends an endpoint list on the watch, which is accepted first where there is none.
+  // Sends an endpoint list on the watch; accepts the watch first if there is none.
   void publish_endpoints(const std::string& list);
-  // Puts a file in the place of the configuration and has the relay read it on SIGHUP.
+  // Writes `text` to a configuration file and makes the relay reload it by SIGHUP.
   void reload_config(const std::string& text);
 };
 
--- a/tests/support/recording_actions.hpp
+++ b/tests/support/recording_actions.hpp
@@ -1,4 +1,4 @@
-// The balancer's surroundings in a test: records what the balancer does and lets virtual time pass.
+// BalancerActions for tests: records the balancer's actions and runs its timers in virtual time.
 #pragma once
 
 #include <algorithm>
@@ -33,7 +33,7 @@
   std::vector<Session*> migrated_sessions;
   std::vector<Session*> cancelled_sessions;
   std::vector<Backend*> health_checks;
-  std::vector<Micros> endpoint_watches;  // when each was asked for
+  std::vector<Micros> endpoint_watches;  // times of the calls
   std::vector<std::string> log_lines;
   std::multimap<Micros, std::function<void()>> timers;
 
@@ -49,10 +49,12 @@
   void migrate_session(Session& session) override { migrated_sessions.push_back(&session); }
   void check_health(Backend& backend) override { health_checks.push_back(&backend); }
   void watch_endpoints() override { endpoint_watches.push_back(current_time); }
-  void call_at(Micros when, std::function<void()> then) override { timers.emplace(when, std::move(then)); }
+  void call_at(Micros when, std::function<void()> callback) override {
+    timers.emplace(when, std::move(callback));
+  }
   void log(const std::string& line) override { log_lines.push_back(line); }
 
-  // Lets this much time pass and runs each timer at its time.
+  // Advances the virtual time and runs each timer that expires at its own time.
   void advance(Micros duration) {
     const Micros until = current_time + duration;
     while (!timers.empty() && timers.begin()->first <= until) {
--- a/tests/support/redirected_stderr.hpp
+++ b/tests/support/redirected_stderr.hpp
@@ -1,11 +1,11 @@
-// Standard error in a test's hands.
+// Redirection of standard error in tests.
 #pragma once
 
 #include <unistd.h>
 
 namespace cherryrail::testing {
 
-// While it lives, what the process writes to standard error goes to another descriptor, which it owns.
+// Redirects the process's standard error to another descriptor, which it takes over, until it is destroyed.
 class RedirectedStderr {
  public:
   explicit RedirectedStderr(int target) : saved_(dup(STDERR_FILENO)) {
--- a/tests/support/restarting_relay.cpp
+++ b/tests/support/restarting_relay.cpp
@@ -16,8 +16,8 @@
   return proxy.hand_over([](const proxy::OutgoingHandover&) { return false; });
 }
 
-RestartingRelay::RestartingRelay(std::size_t backend_count, bool has_an_admin)
-    : LoopbackRelay(backend_count, 500, "", false), has_admin(has_an_admin) {
+RestartingRelay::RestartingRelay(std::size_t backend_count, bool with_admin_server)
+    : LoopbackRelay(backend_count, 500, "", false), has_admin_server(with_admin_server) {
   port = listener.port();
   relay_config = config::parse_relay_config(config_text(500));
   relay_config.state_directory = folder.path();
@@ -26,7 +26,7 @@
 
 std::unique_ptr<RestartingRelay::Process> RestartingRelay::start_process() {
   relay_config.inherited_listener = dup(listener.fd());
-  if (has_admin) {
+  if (has_admin_server) {
     admin_ports.push_back(TestSocket::listening().port());
     relay_config.admin = "127.0.0.1:" + std::to_string(admin_ports.back());
     relay_config.admin_address = net::parse_address(relay_config.admin);
--- a/tests/support/restarting_relay.hpp
+++ b/tests/support/restarting_relay.hpp
@@ -1,5 +1,5 @@
-// One relay of which there may be two processes, joined by a hot restart: both are objects in the test's
-// process and have the clients' listening socket.
+// Test fixture for a hot restart: a relay and its successor. Both are objects in the test process and share
+// the listening socket for clients.
 #pragma once
 
 #include <memory>
@@ -17,24 +17,24 @@
     std::unique_ptr<admin::AdminServices> admin_services;
 
     Process(net::EventLoop& event_loop, const config::RelayConfig& relay_config);
-    // Whether it has handed over all that it had.
+    // Whether nothing is left to hand over to a successor.
     bool has_nothing_to_hand_over();
   };
 
   TemporaryFolder folder;
   TestSocket listener = TestSocket::listening();
-  std::vector<TestSocket> watches;  // of each process, in the order of their start
-  bool has_admin = false;
-  std::vector<int> admin_ports;  // of each process, in the order of their start
+  std::vector<TestSocket> watches;  // one per process, in the order of their start
+  bool has_admin_server = false;
+  std::vector<int> admin_ports;  // one per process, in the order of their start
   std::unique_ptr<Process> first;
   std::unique_ptr<Process> second;
 
-  // With `has_an_admin` each process has an admin server of its own.
-  explicit RestartingRelay(std::size_t backend_count, bool has_an_admin = false);
+  // With `with_admin_server` true each process has its own admin server.
+  explicit RestartingRelay(std::size_t backend_count, bool with_admin_server = false);
 
-  // A process that is ready and has its endpoint list.
+  // Starts a process, sends it an endpoint list and waits until it is ready.
   std::unique_ptr<Process> start_process();
-  // Starts the second process and has the first one leave.
+  // Starts the second process and shuts the first one down.
   void replace();
 };
 
--- a/tests/support/temporary_folder.hpp
+++ b/tests/support/temporary_folder.hpp
@@ -1,4 +1,4 @@
-// A folder of a test's own, removed at its end.
+// A temporary folder for one test, removed with its contents by the destructor.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/support/test_socket.cpp
+++ b/tests/support/test_socket.cpp
@@ -15,8 +15,8 @@
 namespace cherryrail::testing {
 namespace {
 
-// More than any test connects at once, so that no connection waits for the relay's turn to accept.
-constexpr int kBacklog = 4096;
+// More connections than any test opens at once, so that connecting never waits for the relay to accept.
+constexpr int kListenBacklog = 4096;
 
 sockaddr_in loopback_address(int port) {
   sockaddr_in address{};
@@ -46,7 +46,7 @@
   if (port > 0) setsockopt(listener.fd_, SOL_SOCKET, SO_REUSEADDR, &reuse_address, sizeof(reuse_address));
   sockaddr_in address = loopback_address(port);
   EXPECT_EQ(bind(listener.fd_, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
-  listen(listener.fd_, kBacklog);
+  listen(listener.fd_, kListenBacklog);
   return listener;
 }
 
@@ -55,7 +55,7 @@
   if (receive_buffer > 0)
     setsockopt(connection.fd_, SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof(receive_buffer));
   sockaddr_in address = loopback_address(port);
-  // Whether the port takes connections is for the test to find out: it may expect that none is.
+  // The result is ignored: a test may expect that the port refuses connections.
   // NOLINTNEXTLINE(bugprone-unused-return-value)
   connect(connection.fd_, reinterpret_cast<sockaddr*>(&address), sizeof(address));
   fcntl(connection.fd_, F_SETFL, O_NONBLOCK);
@@ -84,8 +84,8 @@
 }
 
 void TestSocket::reset() {
-  const linger at_once{1, 0};
-  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+  const linger reset_on_close{1, 0};
+  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
   close();
 }
 
--- a/tests/support/test_socket.hpp
+++ b/tests/support/test_socket.hpp
@@ -1,4 +1,4 @@
-// A loopback socket in a test's hands: the far end of one of the relay's connections, or a listener.
+// A loopback socket for tests: the peer of one of the relay's connections, or a listener.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,7 @@
 
 namespace cherryrail::testing {
 
-// Owns its descriptor. Nothing blocks: a call that can't go on returns what there is.
+// Owns its descriptor. Its calls do not block: they return what is available.
 class TestSocket {
  public:
   explicit TestSocket(int fd = -1) : fd_(fd) {}
@@ -17,32 +17,33 @@
   TestSocket& operator=(const TestSocket&) = delete;
   ~TestSocket() { close(); }
 
-  // A listener on loopback; port 0 takes a free one, any other may have been used a moment ago.
+  // A listener on loopback. Port 0 chooses a free port; any other port may have been in use until just now.
   static TestSocket listening(int port = 0);
-  // A connection to a port on loopback; a small receive buffer makes a slow reader.
+  // A connection to a port on loopback. `receive_buffer` is in bytes, 0 for the system's default; a small one
+  // makes this peer a slow reader.
   static TestSocket connected_to(int port, int receive_buffer = 0);
 
   explicit operator bool() const { return fd_ >= 0; }
   int fd() const { return fd_; }
   int port() const;
 
-  // The next connection at this listener, empty where none waits.
+  // Accepts the next connection of this listener; returns an empty socket if none is pending.
   TestSocket accept() const;
-  // Sends all of it, or fails the test.
+  // Sends all of `text`, or fails the test.
   void send(std::string_view text) const;
-  // Sends what the connection takes now, and tells how many bytes that was.
+  // Sends as much of `text` as the connection accepts now; returns the number of bytes.
   std::size_t send_some(std::string_view text) const;
-  // Ends the sending direction and goes on reading.
+  // Shuts down the sending direction; the socket can still receive.
   void finish_sending() const;
   void close();
   // Closes with a TCP reset.
   void reset();
 
-  // All that has come so far.
+  // All bytes received so far.
   const std::string& received();
-  // Whether the peer has ended the connection, in whichever way.
+  // Whether the peer has closed or reset the connection.
   bool is_ended_by_peer();
-  // Whether it has done so with a TCP reset.
+  // Whether the peer has reset the connection.
   bool is_reset_by_peer();
 
  private:
