--- a/src/proxy/config_reloader.cpp
+++ b/src/proxy/config_reloader.cpp
@@ -5,10 +5,10 @@
 namespace cherryrail::proxy {
 namespace {
 
-// How often and how long a configuration that cannot be read is read again: news from a new discovery address
-// count as told some seconds after the signal.
+// How often an unreadable configuration is read again. Retries end after two seconds: the relay has to follow
+// a new discovery address within a few seconds of the signal.
 constexpr Micros kRetryInterval = 100'000;
-constexpr int kAttempts = 20;
+constexpr int kMaxAttempts = 20;
 
 }  // namespace
 
@@ -17,29 +17,30 @@
     : event_loop_(event_loop), listen_(config.listen), flat_settings_(config.flat_settings),
       balancer_(balancer), discovery_(discovery), descriptors_(descriptors) {}
 
-// Half a file, or one with a wrong value, must neither stop the process nor be applied in part.
+// A truncated file, or one with an invalid value, must neither stop the process nor be applied in part.
 void ConfigReloader::reload(const std::string& path) {
   ++reload_number_;
-  try_to_reload(path, kAttempts);
+  try_to_reload(path, kMaxAttempts);
 }
 
-// The relay is told of a new configuration once. If it can't be read just then, it is read again for a while,
-// unless the relay is told anew.
-void ConfigReloader::try_to_reload(const std::string& path, int attempts) {
+// The platform signals a new configuration only once, so a file that cannot be read at that moment is read
+// again until the attempts are used up or the next reload begins.
+void ConfigReloader::try_to_reload(const std::string& path, int remaining_attempts) {
   try {
     apply(config::read_relay_config(path));
   } catch (const config::IncompleteConfigError& error) {
-    if (attempts == kAttempts) log_failure(error);
-    if (attempts > 1) try_again_later(path, attempts - 1);
+    if (remaining_attempts == kMaxAttempts) log_failure(error);
+    if (remaining_attempts > 1) schedule_retry(path, remaining_attempts - 1);
   } catch (const config::ConfigError& error) {
     log_failure(error);
   }
 }
 
-void ConfigReloader::try_again_later(const std::string& path, int attempts) {
-  event_loop_.call_at(event_loop_.now() + kRetryInterval, [this, path, attempts, number = reload_number_] {
-    if (number == reload_number_) try_to_reload(path, attempts);
-  });
+void ConfigReloader::schedule_retry(const std::string& path, int remaining_attempts) {
+  event_loop_.call_at(event_loop_.now() + kRetryInterval,
+                      [this, path, remaining_attempts, number = reload_number_] {
+                        if (number == reload_number_) try_to_reload(path, remaining_attempts);
+                      });
 }
 
 void ConfigReloader::log_failure(const config::ConfigError& error) {
@@ -52,8 +53,8 @@
                               "cannot change while the relay runs");
   }
   descriptors_.set_limit(config::raise_descriptor_limit(config.descriptor_limit));
-  balancer_.on_endpoints_updated();  // failures at the old address say nothing of the new one
-  discovery_.move_to(config.discovery);
+  balancer_.on_endpoints_updated();  // failures at the old address do not delay requests to the new one
+  discovery_.set_address(config.discovery);
   const bool is_unchanged = config.flat_settings == flat_settings_;
   event_loop_.log().write(net::Topic::lifecycle, "configuration reloaded{}",
                           is_unchanged ? "" : "; its settings differ and apply from the next start");
--- a/src/proxy/config_reloader.hpp
+++ b/src/proxy/config_reloader.hpp
@@ -1,4 +1,4 @@
-// Reads the configuration again while the relay runs.
+// Reloads the configuration while the relay runs.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,18 @@
 
 class ConfigReloader {
  public:
-  // `config` is the one that the relay has started with.
+  // `config` is the configuration that the relay started with.
   ConfigReloader(net::EventLoop& event_loop, const config::RelayConfig& config, Balancer& balancer,
                  Discovery& discovery, DescriptorBudget& descriptors);
 
-  // Applies what may change while the relay runs: where discovery is, and the limit on descriptors. A
-  // configuration that cannot be used is logged and leaves everything as it is; one that cannot be read just
-  // now, or ends half-way, is read again for two seconds.
+  // Applies the settings that may change while the relay runs: the discovery address and the descriptor
+  // limit. An invalid configuration is logged and changes nothing. A file that cannot be read or is truncated
+  // is read again for two seconds.
   void reload(const std::string& path);
 
  private:
-  void try_to_reload(const std::string& path, int attempts);
-  void try_again_later(const std::string& path, int attempts);
+  void try_to_reload(const std::string& path, int remaining_attempts);
+  void schedule_retry(const std::string& path, int remaining_attempts);
   void log_failure(const config::ConfigError& error);
   void apply(const config::RelayConfig& config);
 
@@ -35,7 +35,7 @@
   Balancer& balancer_;
   Discovery& discovery_;
   DescriptorBudget& descriptors_;
-  std::uint64_t reload_number_ = 0;  // of the latest call of reload
+  std::uint64_t reload_number_ = 0;  // of the latest call of reload(); voids earlier retries
 };
 
 }  // namespace cherryrail::proxy
--- a/src/proxy/descriptor_budget.cpp
+++ b/src/proxy/descriptor_budget.cpp
@@ -5,19 +5,20 @@
 namespace cherryrail::proxy {
 namespace {
 
-// For discovery, health checks, operators, attempts of clients whose request is read, and the loop itself.
-constexpr std::size_t kUsualReserve = 24;
+// For discovery, health checks, operators, the attempts of clients whose request has been read, and the event
+// loop itself.
+constexpr std::size_t kDefaultReserve = 24;
 
-// With the whole usual reserve, the smallest limit would leave nothing for clients.
+// With the full default reserve, the smallest limit would leave no descriptor for clients.
 std::size_t max_reserve(std::size_t limit) { return 5 * limit / 8; }
 
 }  // namespace
 
 DescriptorBudget::DescriptorBudget(const net::EventLoop& event_loop, std::size_t limit)
-    : event_loop_(event_loop), limit_(limit), wanted_reserve_(kUsualReserve) {}
+    : event_loop_(event_loop), limit_(limit), requested_reserve_(kDefaultReserve) {}
 
-// The limit may change while the relay runs.
-std::size_t DescriptorBudget::reserved() const { return std::min(wanted_reserve_, max_reserve(limit_)); }
+// Computed at each call, since the limit may change while the relay runs.
+std::size_t DescriptorBudget::reserved() const { return std::min(requested_reserve_, max_reserve(limit_)); }
 
 std::size_t DescriptorBudget::in_use() const { return event_loop_.watch_count() + held_by_peers_; }
 
--- a/src/proxy/descriptor_budget.hpp
+++ b/src/proxy/descriptor_budget.hpp
@@ -1,4 +1,4 @@
-// What this process may still open, of the descriptors that it and its peers share.
+// Tracks the use of the descriptor limit that this process shares with its peers.
 #pragma once
 
 #include <cstddef>
@@ -13,15 +13,15 @@
   DescriptorBudget(const net::EventLoop& event_loop, std::size_t limit);
 
   void set_limit(std::size_t limit) { limit_ = limit; }
-  // Keeps so many more back from clients.
-  void reserve(std::size_t count) { wanted_reserve_ += count; }
-  // Held by processes of the same relay, while one replaces the other.
+  // Withholds `count` more descriptors from clients.
+  void reserve(std::size_t count) { requested_reserve_ += count; }
+  // Descriptors held by other processes of the same relay during a hot restart.
   void set_held_by_peers(std::size_t count) { held_by_peers_ = count; }
 
-  // No client may be accepted: what is left is kept back.
+  // Whether no client may be accepted, because only the reserve is left.
   bool is_exhausted() const;
-  // A health check may be made, or a session of a predecessor taken over: each needs one descriptor of the
-  // half of the reserve that is there for it.
+  // Whether a health check may start, or a session from a predecessor may be received. Each needs one
+  // descriptor, for which half of the reserve is available.
   bool allows_use_of_reserve() const;
 
  private:
@@ -30,7 +30,7 @@
 
   const net::EventLoop& event_loop_;
   std::size_t limit_;
-  std::size_t wanted_reserve_;
+  std::size_t requested_reserve_;
   std::size_t held_by_peers_ = 0;
 };
 
--- a/src/proxy/discovery.cpp
+++ b/src/proxy/discovery.cpp
@@ -6,9 +6,10 @@
 namespace cherryrail::proxy {
 namespace {
 
-// An address that has sent a lower version for so long, less than one heartbeat, counts its versions anew.
+// A discovery server that sends a lower version for this long has restarted its version counter. Shorter than
+// the heartbeat interval.
 constexpr Micros kVersionRestartDelay = 1'500'000;
-constexpr std::int64_t kNoVersion = 0;  // asks for the whole list
+constexpr std::int64_t kNoVersion = 0;  // requests the complete list
 
 }  // namespace
 
@@ -21,17 +22,18 @@
 
 void Discovery::ensure_watching() {
   if (watch_) return;
-  // Changes after a version that is counted otherwise would be none: then the whole list is asked for.
+  // After a restart of the server's version counter, a request for changes after the known version would
+  // yield nothing, so the complete list is requested.
   const std::int64_t version = lower_version_since_ ? kNoVersion : version_;
   DiscoveryWatchOwner& owner = *this;
   watch_ = std::make_shared<DiscoveryWatch>(event_loop_, owner, address_, version, first_line_timeout_);
   watch_->start();
 }
 
-// The new address may be down, or come up late, while the old one ends: so the old one is followed until the
-// new one sends its first line, and from then on the new one alone. Moved twice in a row, the one that sends
-// is kept.
-void Discovery::move_to(const std::string& address) {
+// The new address may be down or slow to start, so the watch at the old address is followed until the new one
+// receives its first line, and only the new one from then on. After two changes in a row, the watch that has
+// received a line is kept.
+void Discovery::set_address(const std::string& address) {
   if (address == address_) return;
   address_ = address;
   lower_version_since_.reset();
@@ -50,7 +52,7 @@
   try {
     list = protocol::parse_endpoint_list(line);
   } catch (const protocol::ProtocolError& error) {
-    // A list that cannot be read must not be followed in part: the one before holds.
+    // A malformed list must not be applied in part: the previous list stays in force.
     return watch.end(error.what());
   }
   if (!is_current(list)) return watch.end("endpoint list older than the current one");
@@ -58,7 +60,7 @@
   on_list_(list, last_line_at());
 }
 
-// Each line, the heartbeat too, tells that nothing else has changed until then.
+// Each line, also a heartbeat, confirms that nothing else has changed up to its arrival.
 Micros Discovery::last_line_at() const {
   Micros latest = last_line_of_ended_watches_;
   for (const auto* watch : {watch_.get(), previous_watch_.get()}) {
@@ -67,9 +69,9 @@
   return latest;
 }
 
-// A discovery server that lags names backends that have gone and leaves out those that came since. A lower
-// version is taken only once the current address has sent nothing else for a while: then it counts its
-// versions anew.
+// A lagging discovery server lists backends that are gone and omits new ones, so a lower version is ignored
+// at first. Once the current address has sent only lower versions for kVersionRestartDelay, its version
+// counter has restarted, and the lower version is accepted.
 bool Discovery::is_current(const protocol::EndpointList& list) {
   if (list.version >= version_) {
     lower_version_since_.reset();
--- a/src/proxy/discovery.hpp
+++ b/src/proxy/discovery.hpp
@@ -1,4 +1,4 @@
-// Follows the endpoint list at discovery, and moves to another address when discovery does.
+// Follows the endpoint list of the discovery server, also when the server's address changes.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,18 @@
 
 namespace cherryrail::proxy {
 
-// Holds the watch at the current address and, for a while after a move, the one at the address before.
-// Decides which of them counts and which lists are newer than what is known. Asks again only when it is told
-// to.
+// Owns the watch at the current address and, for a while after an address change, the watch at the previous
+// address. Decides which watch is followed and which lists are newer than the known version. Starts a new
+// watch only when ensure_watching() or set_address() is called.
 class Discovery final : private DiscoveryWatchOwner {
  public:
-  // `current_until`: when the list was last known to be current before this one; 0: never.
+  // `current_until`: until when the list before this one is known to have been current; 0 if never.
   using OnList = std::function<void(const protocol::EndpointList&, Micros current_until)>;
   using OnFailed = std::function<void(Micros retry_within)>;
 
-  // Starts from the version that is known. `on_list` gets each list that is not older than the one before;
-  // `on_failed` is called once for each watch that ends or cannot be had at the current address.
-  // `first_line_timeout` is how long a watch may take to its first line once it is connected.
+  // `version` is the version of the list that is known already. `on_list` is called with each list that is
+  // not older than the one before; `on_failed` is called once for each watch at the current address that ends
+  // or cannot be started. `first_line_timeout` is the time from connecting to the first line of a watch.
   Discovery(net::EventLoop& event_loop, std::string address, std::int64_t version, Micros first_line_timeout,
             OnList on_list, OnFailed on_failed);
   ~Discovery();
@@ -33,8 +33,8 @@
 
   // Starts a watch at the current address, unless there is one.
   void ensure_watching();
-  // From now on the list is to be had at `address`.
-  void move_to(const std::string& address);
+  // Follows the list of the discovery server at `address` from now on.
+  void set_address(const std::string& address);
 
  private:
   void on_first_line(const DiscoveryWatch& watch) override;
@@ -50,10 +50,10 @@
   OnFailed on_failed_;
   Micros first_line_timeout_;
   std::shared_ptr<DiscoveryWatch> watch_;  // at the current address
-  std::shared_ptr<DiscoveryWatch>
-      previous_watch_;                         // at the address before, until the current one's first line
-  Micros last_line_of_ended_watches_ = 0;      // 0: none has had a line
-  std::optional<Micros> lower_version_since_;  // the current address has sent a lower version since then
+  // At the previous address, until the first line of the watch at the current address.
+  std::shared_ptr<DiscoveryWatch> previous_watch_;
+  Micros last_line_of_ended_watches_ = 0;      // 0: none has received a line
+  std::optional<Micros> lower_version_since_;  // since when the current address sends a lower version
 };
 
 }  // namespace cherryrail::proxy
--- a/src/proxy/discovery_watch.cpp
+++ b/src/proxy/discovery_watch.cpp
@@ -9,19 +9,19 @@
 
 using protocol::HttpResponse;
 
-// Discovery sends an empty line so often while nothing changes.
+// How often discovery sends an empty line while nothing changes.
 constexpr Micros kHeartbeatInterval = 2'000'000;
-// A heartbeat that is late by half its interval does not come any more.
+// A heartbeat that is late by half its interval is considered lost.
 constexpr Micros kSilenceTimeout = 3 * kHeartbeatInterval / 2;
 constexpr Micros kConnectTimeout = kHeartbeatInterval / 2;
-// So long after the last line of a watch, whatever it misses counts as told to this relay.
-constexpr Micros kNewsDeadline = 3 * kHeartbeatInterval;
-// Of that time, what a new watch needs to connect and to be answered.
-constexpr Micros kRestartTime = kHeartbeatInterval / 2;
-// Even when that time is over, discovery is not asked faster than this.
-constexpr Micros kShortestRetry = kHeartbeatInterval / 10;
-// Some hundred thousand backends; a list that goes on beyond that has no end.
-constexpr std::size_t kLongestLine = std::size_t{16} << 20;
+// The relay is expected to know every change this long after the last line of a watch that has missed it.
+constexpr Micros kMaxListStaleness = 3 * kHeartbeatInterval;
+// The part of kMaxListStaleness that a new watch needs to connect and to receive its first line.
+constexpr Micros kReconnectTime = kHeartbeatInterval / 2;
+// Discovery is not asked more often than this, even after kMaxListStaleness has passed.
+constexpr Micros kMinRetryInterval = kHeartbeatInterval / 10;
+// Enough for some hundred thousand backends; a longer line is taken for one that never ends.
+constexpr std::size_t kMaxLineBytes = std::size_t{16} << 20;
 
 constexpr int kStatusOk = 200;
 
@@ -44,10 +44,10 @@
   const net::ConnectAttempt attempt =
       net::Connection::connect(event_loop_, net::parse_address(address_), *this);
   connection_ = attempt.connection;
-  if (connection_) return watch_for_silence();
-  // What this machine lacks costs discovery nothing, and the news count as told meanwhile.
-  const Micros retry_within = attempt.is_local_failure ? kShortestRetry : kNoRetryLimit;
-  // Not at once: the owner does not hold this watch yet.
+  if (connection_) return schedule_silence_timeout();
+  // A shortage on this machine puts no load on discovery, and the list grows stale meanwhile: retry soon.
+  const Micros retry_within = attempt.is_local_failure ? kMinRetryInterval : kNoRetryLimit;
+  // Posted, because the owner does not hold this watch yet.
   event_loop_.post([weak = weak_from_this(), retry_within] {
     if (const auto self = weak.lock()) self->end("cannot connect", retry_within);
   });
@@ -69,19 +69,19 @@
 void DiscoveryWatch::on_received(std::string_view bytes) {
   const auto keep_alive = shared_from_this();  // the owner may release this watch at any line
   last_received_at_ = event_loop_.now();
-  const auto state = response_.feed(bytes, [this](std::string_view part) { take_body(part); });
+  const auto state = response_.feed(bytes, [this](std::string_view part) { read_body(part); });
   if (!connection_) return;
-  if (state == HttpResponse::State::malformed) return end("its answer is not HTTP");
+  if (state == HttpResponse::State::malformed) return end("response is not HTTP");
   if (state != HttpResponse::State::reading_head && response_.status() != kStatusOk)
-    return end("status " + std::to_string(response_.status()));
-  if (state == HttpResponse::State::complete) end("it ended the watch");
+    return end("HTTP status " + std::to_string(response_.status()));
+  if (state == HttpResponse::State::complete) end("response ended");
 }
 
-void DiscoveryWatch::on_end_of_stream() { end("it ended the watch"); }
+void DiscoveryWatch::on_end_of_stream() { end("connection closed by discovery"); }
 
-void DiscoveryWatch::on_connection_lost() { end("no connection"); }
+void DiscoveryWatch::on_connection_lost() { end("connection lost"); }
 
-Micros DiscoveryWatch::silence_limit() const {
+Micros DiscoveryWatch::silence_timeout() const {
   switch (state_) {
     case State::connecting:
       return kConnectTimeout;
@@ -93,39 +93,40 @@
   return kSilenceTimeout;
 }
 
-// A watch whose far end has vanished stays open and silent.
-void DiscoveryWatch::watch_for_silence() {
-  event_loop_.call_at(silent_at(), [weak = weak_from_this()] {
+// Without a timeout, a watch whose peer has vanished would stay open and silent.
+void DiscoveryWatch::schedule_silence_timeout() {
+  event_loop_.call_at(silence_deadline(), [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self || !self->connection_) return;
-    if (self->event_loop_.now() < self->silent_at()) return self->watch_for_silence();
-    self->end_silent();
+    if (self->event_loop_.now() < self->silence_deadline()) return self->schedule_silence_timeout();
+    self->on_silence_timeout();
   });
 }
 
-// The silence itself, asking again and being answered have to fit into the time after which the news counts
-// as told.
-void DiscoveryWatch::end_silent() {
-  if (state_ == State::streaming) return end("no heartbeat", kNewsDeadline - kSilenceTimeout - kRestartTime);
+// The silence, the new request and its first line have to fit into kMaxListStaleness.
+void DiscoveryWatch::on_silence_timeout() {
+  if (state_ == State::streaming)
+    return end("no heartbeat", kMaxListStaleness - kSilenceTimeout - kReconnectTime);
   const Micros elapsed = event_loop_.now() - started_at_;
-  const Micros retry_within = std::max<Micros>(kNewsDeadline - kRestartTime - elapsed, kShortestRetry);
-  // Discovery may have come back while this watch, made before, went on waiting.
+  const Micros retry_within =
+      std::max<Micros>(kMaxListStaleness - kReconnectTime - elapsed, kMinRetryInterval);
+  // Discovery may have recovered while this watch, which was started before, kept waiting: retry soon.
   end(state_ == State::connecting ? "connect timeout" : "no first line", retry_within);
 }
 
-// A part of the body may hold several lines, or a piece of one.
-void DiscoveryWatch::take_body(std::string_view part) {
+// A part of the body may hold several lines or a fragment of a line.
+void DiscoveryWatch::read_body(std::string_view part) {
   while (!part.empty() && connection_ && response_.status() == kStatusOk) {
     const std::size_t end_of_line = part.find('\n');
     partial_line_.append(part.substr(0, end_of_line));
-    if (partial_line_.size() > kLongestLine) return end("endpoint list too long");
+    if (partial_line_.size() > kMaxLineBytes) return end("endpoint list too long");
     if (end_of_line == std::string_view::npos) return;
     part.remove_prefix(end_of_line + 1);
-    take_line(std::exchange(partial_line_, {}));
+    handle_line(std::exchange(partial_line_, {}));
   }
 }
 
-void DiscoveryWatch::take_line(const std::string& line) {
+void DiscoveryWatch::handle_line(const std::string& line) {
   const bool is_first = state_ != State::streaming;
   state_ = State::streaming;
   if (is_first) owner_.on_first_line(*this);
--- a/src/proxy/discovery_watch.hpp
+++ b/src/proxy/discovery_watch.hpp
@@ -1,4 +1,4 @@
-// One watch on the endpoint list: one HTTP request at one address, answered by a line for each change.
+// A watch on the endpoint list: one HTTP request to one address, whose response has a line for each change.
 #pragma once
 
 #include <cstdint>
@@ -15,15 +15,13 @@
 
 class DiscoveryWatch;
 
-// What Discovery, which holds the watches, is told. A watch may be ended or released from within any of
-// these.
+// Receives the events of a watch. A watch may be ended or released from within any of these calls.
 class DiscoveryWatchOwner {
  public:
-  // Before the first call of on_list_line(); also for an empty line, the heartbeat.
+  // Called before the first call of on_list_line(), also if the first line is a heartbeat, which is empty.
   virtual void on_first_line(const DiscoveryWatch& watch) = 0;
   virtual void on_list_line(DiscoveryWatch& watch, const std::string& line) = 0;
-  // Once for each watch; nothing comes after it. `retry_within` is how soon the list has to be asked for
-  // again.
+  // The last call, made once for each watch. The list has to be requested again within `retry_within`.
   virtual void on_watch_ended(const DiscoveryWatch& watch, const std::string& reason,
                               Micros retry_within) = 0;
 
@@ -31,28 +29,28 @@
   ~DiscoveryWatchOwner() = default;
 };
 
-// A state machine: connecting, then awaiting the first line, then streaming; it may end in each of these.
-// What the lines mean, and whether the watch still counts, is its owner's affair.
+// A state machine: connecting, then awaiting the first line, then streaming; the watch may end in each state.
+// The owner interprets the lines and decides whether the watch is still followed.
 class DiscoveryWatch final : public net::ConnectionHandler,
                              public std::enable_shared_from_this<DiscoveryWatch> {
  public:
   static constexpr Micros kNoRetryLimit = std::numeric_limits<Micros>::max();
 
-  // `address` is host and port. Asks for what has changed after `version`, 0 for the whole list.
-  // `first_line_timeout` is how long the first line may take once connected. `owner` has to outlive the
-  // watch.
+  // `address` is host and port. Requests the changes after `version`, or the complete list if it is 0.
+  // `first_line_timeout` is the time from connecting to the first line. `owner` must outlive the watch.
   DiscoveryWatch(net::EventLoop& event_loop, DiscoveryWatchOwner& owner, std::string address,
                  std::int64_t version, Micros first_line_timeout);
   ~DiscoveryWatch();
   DiscoveryWatch(const DiscoveryWatch&) = delete;
   DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-  // Called once, before anything else.
+  // To be called once, before any other function.
   void start();
-  // Closes the connection and tells the owner.
+  // Closes the connection and notifies the owner.
   void end(const std::string& reason, Micros retry_within = kNoRetryLimit);
   [[nodiscard]] bool has_received_line() const { return state_ == State::streaming; }
-  // When the latest line came, but for one that is being handed on; 0 if none has.
+  // When the latest line was received, 0 if none was. Does not count a line that is being passed to the
+  // owner.
   [[nodiscard]] Micros last_line_at() const { return last_line_at_; }
 
   void on_connected() override;
@@ -63,12 +61,12 @@
  private:
   enum class State : std::uint8_t { connecting, awaiting_first_line, streaming };
 
-  [[nodiscard]] Micros silence_limit() const;
-  [[nodiscard]] Micros silent_at() const { return last_received_at_ + silence_limit(); }
-  void watch_for_silence();
-  void end_silent();
-  void take_body(std::string_view part);
-  void take_line(const std::string& line);
+  [[nodiscard]] Micros silence_timeout() const;
+  [[nodiscard]] Micros silence_deadline() const { return last_received_at_ + silence_timeout(); }
+  void schedule_silence_timeout();
+  void on_silence_timeout();
+  void read_body(std::string_view part);
+  void handle_line(const std::string& line);
 
   net::EventLoop& event_loop_;
   DiscoveryWatchOwner& owner_;
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -36,7 +36,7 @@
     listed.insert(entry.uid);
     apply_entry(entry, current_until);
   }
-  // An entry that was skipped has no uid here, and its backend would be taken for removed.
+  // The uid of a skipped entry is unknown here, so its backend would be removed by mistake.
   if (list.is_complete && list.skipped_entries == 0) remove_unlisted(listed);
   balancer_.on_endpoints_updated();
 }
@@ -83,7 +83,7 @@
   if (backend) return backend;
   backend = std::make_shared<ProxyBackend>();
   backend->uid = uid;
-  backend->name = protocol::parse_key("uid " + uid);  // never a hexadecimal number: a hash of the text
+  backend->name = protocol::parse_key("uid " + uid);  // the prefix ensures a hash, never a parsed number
   backend->disabled_by_operator = disabled_.contains(uid);
   return backend;
 }
--- a/src/proxy/endpoint_registry.hpp
+++ b/src/proxy/endpoint_registry.hpp
@@ -1,4 +1,4 @@
-// The backends by their names in the endpoint list, and those that operators have disabled.
+// The backends by their uid in the endpoint list, and the set of backends that operators have disabled.
 #pragma once
 
 #include <cstddef>
@@ -20,20 +20,22 @@
  public:
   using BackendPtr = std::shared_ptr<ProxyBackend>;
 
-  // `zone_names`: the zones that the settings name, in the order of their numbers.
+  // `zone_names`: the zones of the settings; a zone's number is its position.
   EndpointRegistry(net::EventLoop& event_loop, Balancer& balancer, std::vector<std::string> zone_names);
 
-  // Tells the balancer what an endpoint list says. A complete list removes the backends that it leaves out.
+  // Updates the balancer's backends from an endpoint list. A complete list removes the backends that it
+  // omits. `current_until`: until when the previous list is known to have been current; 0 if never.
   void apply(const protocol::EndpointList& list, Micros current_until = 0);
-  // Those, and no others, are disabled from now on. A uid may be one that no list has named yet.
+  // Disables exactly these backends, and enables all others. A uid may be one that no list has named yet.
   void set_disabled(const std::set<std::string>& uids);
 
   std::size_t size() const { return backends_.size(); }
-  // Whether operators can name that backend: a list has, or it is disabled.
+  // Whether operators can refer to the backend: a list has named it, or it is disabled.
   bool knows(const std::string& uid) const { return backends_.contains(uid) || disabled_.contains(uid); }
-  // Null if no list has named it.
+  // Null if no list has named the backend.
   BackendPtr find(std::string_view uid) const;
-  // For a session from a predecessor. A backend that no list names has left, so its sessions are to migrate.
+  // For a session from a predecessor. A backend that no list has named is added as gone, so that its sessions
+  // migrate.
   BackendPtr find_or_add_gone(const std::string& uid);
 
  private:
@@ -46,7 +48,7 @@
   Balancer& balancer_;
   std::map<std::string, BackendPtr, std::less<>> backends_;  // by uid
   std::set<std::string> disabled_;                           // uids
-  std::vector<std::string> zone_names_;                      // a zone's number is its position
+  std::vector<std::string> zone_names_;                      // indexed by zone number
 };
 
 }  // namespace cherryrail::proxy
--- a/src/proxy/health_check_connection.cpp
+++ b/src/proxy/health_check_connection.cpp
@@ -27,7 +27,7 @@
     connection_ = attempt.connection;
     is_connected_ = false;
     if (!connection_) {
-      // What this machine lacks says nothing of the backend: like a check that it rejects.
+      // A shortage on this machine says nothing about the backend's health, so it counts as a rejected check.
       finish(attempt.is_local_failure ? AttemptResult::rejected : AttemptResult::connect_failed, {});
       return;
     }
@@ -60,7 +60,7 @@
     case protocol::ReplyKind::error:
       finish(AttemptResult::error, reply.arguments);
       return;
-    default:  // the backend takes no health checks now, or none at all
+    default:  // the backend accepts no health checks, now or ever
       finish(AttemptResult::rejected, reply.arguments);
   }
 }
@@ -90,7 +90,7 @@
   finish(result, {});
 }
 
-// The result is posted: the balancer may be in the midst of the step that asked for the check.
+// Posts the result, because the balancer may still be in the step that requested the check.
 void HealthCheckConnection::finish(AttemptResult result, std::string_view report) {
   const AttemptOutcome outcome{result, event_loop_.now() - started_at_};
   if (on_result_) {
@@ -100,10 +100,10 @@
   schedule_idle_timeout();
 }
 
-// A connection that is not used takes one of those that the backend can hold.
+// Closes an unused connection, since it takes up one of the backend's limited number of connections.
 void HealthCheckConnection::schedule_idle_timeout() {
-  const Micros due = event_loop_.now() + config_.idle_timeout;
-  event_loop_.call_at(due, [weak = weak_from_this(), number = check_number_] {
+  const Micros idle_deadline = event_loop_.now() + config_.idle_timeout;
+  event_loop_.call_at(idle_deadline, [weak = weak_from_this(), number = check_number_] {
     const auto self = weak.lock();
     if (!self || self->check_number_ != number) return;
     if (self->connection_) self->log_result("idle_timeout");
--- a/src/proxy/health_check_connection.hpp
+++ b/src/proxy/health_check_connection.hpp
@@ -1,4 +1,4 @@
-// The connection on which one backend's health is checked, kept from one check to the next.
+// The connection for the health checks of one backend, kept open between checks.
 #pragma once
 
 #include <cstdint>
@@ -13,29 +13,29 @@
 
 namespace cherryrail::proxy {
 
-// What holds for every health check of a relay.
+// The parameters of all health checks of a relay.
 struct HealthCheckConfig {
-  std::string request;         // PING or STATS, without its line end
-  Micros connect_timeout = 0;  // both timeouts count from the start of the check
+  std::string request;         // PING or STATS, without line end
+  Micros connect_timeout = 0;  // this and the next count from the start of the check
   Micros response_timeout = 0;
-  Micros idle_timeout = 0;  // after this time without a check the connection closes
+  Micros idle_timeout = 0;  // the connection closes after this time without a check
 };
 
-// Called once for each check, in a turn of the loop of its own. `report`: the load report of the answer.
+// Receives the result of a check, in an event loop turn of its own. `report`: the load report in the reply.
 using HealthCheckCallback = std::function<void(const AttemptOutcome&, std::string_view report)>;
 
 class HealthCheckConnection final : public net::ConnectionHandler,
                                     public std::enable_shared_from_this<HealthCheckConnection> {
  public:
-  // `config` has to outlive the object; `on_idle` is called once it can be removed.
+  // `config` must outlive the object. `on_idle` is called once the connection can be removed.
   HealthCheckConnection(net::EventLoop& event_loop, const HealthCheckConfig& config, std::string uid,
                         std::function<void()> on_idle);
   ~HealthCheckConnection();
   HealthCheckConnection(const HealthCheckConnection&) = delete;
   HealthCheckConnection& operator=(const HealthCheckConnection&) = delete;
 
-  // Starts a check, on a new connection if the address has changed. An earlier check that has no result yet
-  // is never told one.
+  // Starts a check, on a new connection if the address has changed. Discards an earlier check that has no
+  // result yet: its callback is never called.
   void check(const net::Address& address, HealthCheckCallback on_result);
 
   void on_connected() override;
@@ -44,7 +44,7 @@
   void on_connection_lost() override;
 
  private:
-  // What a timeout ends: only the connecting, or the whole check.
+  // Whether a timeout ends the check only while connecting, or at any stage.
   enum class TimeoutScope : std::uint8_t { connecting, whole_check };
 
   void send_request();
@@ -64,9 +64,9 @@
   net::Address address_;
   std::shared_ptr<net::Connection> connection_;
   protocol::LineReader lines_;
-  HealthCheckCallback on_result_;  // empty unless a check is under way
+  HealthCheckCallback on_result_;  // empty unless a check is in progress
   Micros started_at_ = 0;
-  std::uint64_t check_number_ = 0;  // timers of an earlier check are void
+  std::uint64_t check_number_ = 0;  // voids the timers of earlier checks
   bool is_connected_ = false;
 };
 
--- a/src/proxy/health_checker.hpp
+++ b/src/proxy/health_checker.hpp
@@ -1,4 +1,4 @@
-// Checks backends' health when the balancer asks for it: one connection a backend.
+// Runs the health checks that the balancer requests, on one connection for each backend.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
  public:
   HealthChecker(net::EventLoop& event_loop, HealthCheckConfig config);
 
-  // Checks the backend `uid` once.
+  // Checks the backend `uid` once; see HealthCheckConnection::check().
   void check(const std::string& uid, const net::Address& address, HealthCheckCallback on_result);
 
  private:
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-// How long a relay that follows another and knows backends waits for an endpoint list of today.
-constexpr Micros kFirstListWait = kSecond;
-// How long a discovery that all relays share may take for a first line: it works through calls in turn.
-constexpr Micros kSharedDiscoveryTimeout = 7 * kSecond / 2;
-// The same for the relay's own agent.
-constexpr Micros kAgentDiscoveryTimeout = kSecond;
+// How long a successor that knows backends from its configuration waits for a current endpoint list.
+constexpr Micros kSuccessorListTimeout = kSecond;
+// First line timeout of a discovery server that all relays share: the server answers requests one by one.
+constexpr Micros kSharedDiscoveryFirstLineTimeout = 7 * kSecond / 2;
+// First line timeout of a discovery agent that serves this relay only.
+constexpr Micros kAgentDiscoveryFirstLineTimeout = kSecond;
 
 ProxySession& as_proxy_session(Session& session) { return static_cast<ProxySession&>(session); }
 
-// The shortest of any traffic class; a second where none is stated or all are longer.
+// The shortest attempt latency objective of any traffic class, at most one second.
 Micros shortest_attempt_objective(const config::SiteSettings& settings) {
   Micros shortest = kSecond;
   for (const TrafficClass& traffic_class : settings.config.traffic_classes) {
@@ -49,9 +49,9 @@
       descriptors_(event_loop, config.descriptor_limit),
       discovery_(
           event_loop, config.discovery, config.known_endpoints.version,
-          config.is_list_pushed ? kAgentDiscoveryTimeout : kSharedDiscoveryTimeout,
+          config.is_list_pushed ? kAgentDiscoveryFirstLineTimeout : kSharedDiscoveryFirstLineTimeout,
           [this](const auto& list, Micros current_until) { on_endpoint_list(list, current_until); },
-          [this](Micros ask_again_within) { balancer_.on_discovery_failed(ask_again_within); }),
+          [this](Micros retry_within) { balancer_.on_discovery_failed(retry_within); }),
       health_checker_(event_loop, health_check_config(settings_)),
       upstream_(event_loop, settings_.connect_timeout, upstream_callbacks()),
       balancer_(*this, settings_.config, config.seed), load_reports_(settings_, balancer_),
@@ -98,12 +98,13 @@
   return callbacks;
 }
 
-// With an old list, attempts go to backends that have left. But discovery may be down for long, and a relay
-// that never accepts serves nobody. Where the relay's own agent has the news already, backends that drain
-// count from the first moment; but clients may come at once, and one that waits in the backlog is given no
-// more time for it.
+// How long the relay waits for an endpoint list before it accepts clients. With an outdated list, attempts go
+// to backends that have left; but discovery may be down for long, and a relay that never accepts serves
+// nobody. Where a local agent pushes the list, the agent already knows which backends drain, so the relay has
+// to heed this from its start. The wait is short because clients may connect at once, and time spent in the
+// listen backlog does not extend a client's timeout.
 Micros ProxyServer::startup_wait(const config::RelayConfig& config) const {
-  if (has_inherited_listener_) return kFirstListWait;
+  if (has_inherited_listener_) return kSuccessorListTimeout;
   if (!config.is_list_pushed) return 0;
   return std::min(settings_.drain_grace, shortest_attempt_objective(settings_) / 2);
 }
@@ -133,7 +134,7 @@
   return longest;
 }
 
-// ---- A session from its request to its final answer -----------------------------------------------------
+// ---- Sessions from open request to final answer ---------------------------------------------------------
 
 void ProxyServer::on_session_requested(const std::shared_ptr<ProxySession>& session) {
   auto fault = request_reader_.read(*session, event_loop_.now());
@@ -144,18 +145,18 @@
     session->refuse("ERR", DownstreamResult::bad_request);
     return;
   }
-  // A session needs a second descriptor; with none left, it would be an attempt that cannot be made and a
-  // listener that cannot accept. What has not been sent anywhere can be rejected.
+  // A session needs a second descriptor for its backend. With none left, the attempt could not connect and
+  // the listener could not accept. The request has not been sent to any backend yet, so it can be rejected.
   downstream_->free_descriptors();
   if (descriptors_.is_exhausted()) {
     session->refuse("BUSY", DownstreamResult::no_descriptors);
     return;
   }
-  place(session);
+  admit(session);
 }
 
-// A client that names the backend where its session was goes there or nowhere.
-void ProxyServer::place(const std::shared_ptr<ProxySession>& session) {
+// A client that names the backend of its earlier session is sent to this backend only.
+void ProxyServer::admit(const std::shared_ptr<ProxySession>& session) {
   const std::string_view uid = session->request().value("at");
   if (uid.empty()) {
     balancer_.admit(session);
@@ -187,12 +188,12 @@
 
 void ProxyServer::migrate_session(Session& session) { as_proxy_session(session).migrate(); }
 
-// ---- What else the balancer asks for --------------------------------------------------------------------
+// ---- Other actions of the balancer ----------------------------------------------------------------------
 
 void ProxyServer::check_health(Backend& backend) {
   const auto target = std::static_pointer_cast<ProxyBackend>(backend.shared_from_this());
-  // Where clients hold the rest, health checks would take the last descriptors, and one that finds none would
-  // count against its backend. A check that is not made is like one that the backend rejects.
+  // While clients hold all other descriptors, health checks would use up the last ones, and a check without a
+  // descriptor would count as a failure of its backend. A skipped check is reported as rejected instead.
   if (!descriptors_.allows_use_of_reserve()) {
     event_loop_.post([this, target] {
       balancer_.on_health_check_ended(*target, {AttemptResult::rejected, 0}, {});
@@ -205,7 +206,7 @@
                         });
 }
 
-// Posted: the balancer asks for it from within its own constructor.
+// Posted, because the balancer requests the watch from within its own constructor.
 void ProxyServer::watch_endpoints() {
   event_loop_.post([this] { discovery_.ensure_watching(); });
 }
@@ -226,18 +227,19 @@
 
 void ProxyServer::begin_graceful_shutdown() {
   if (shutdown_->has_begun()) return;
-  // Clients may have connected already. A socket that the platform holds keeps them for the next process.
+  // Clients may wait in the listen backlog already and have to be answered. The backlog of an inherited
+  // socket outlives this process: the next one accepts them.
   if (!has_inherited_listener_) start_accepting();
   shutdown_->begin();
   event_loop_.log().write(net::Topic::lifecycle, "shutting down: {} sessions to migrate",
                           downstream_->session_count());
-  shutdown_->call_once_clients_stay_away([this] {
+  shutdown_->call_after_client_arrivals([this] {
     balancer_.begin_graceful_shutdown();
     stop_when_empty();
   });
 }
 
-// Clients accepted now could be served for a moment only; the successor has them for good.
+// Stops accepting: new clients are better served by the successor, since this process is about to end.
 StateSnapshot ProxyServer::export_state() {
   shutdown_->begin();
   event_loop_.log().write(net::Topic::lifecycle, "shutting down: {} sessions to hand over",
@@ -248,8 +250,8 @@
   return state;
 }
 
-bool ProxyServer::hand_over(const Give& give) {
-  downstream_->hand_over(give);
+bool ProxyServer::hand_over(const SendHandover& send) {
+  downstream_->hand_over(send);
   return downstream_->is_empty();
 }
 
@@ -276,8 +278,8 @@
   resume_session(std::get<OpenSession>(handover.message), std::move(client), std::move(server));
 }
 
-// The wall clock may have been stepped between the starts of the two processes, by which each dates its
-// times.
+// Each process counts its times from its clock origin, read from the wall clock at its start. The wall clock
+// may have been stepped between the starts of the two processes.
 void ProxyServer::import_state(StateSnapshot state) {
   if (state.clock_origin > 0) shift_times(state, event_loop_.clock_origin() - state.clock_origin);
   balancer_.import_state(state);
--- a/src/proxy/proxy_server.hpp
+++ b/src/proxy/proxy_server.hpp
@@ -1,4 +1,4 @@
-// The relay on sockets: brings clients' sessions to backends as the balancer decides.
+// The relay's proxy: forwards clients' sessions over sockets to the backends that the balancer chooses.
 #pragma once
 
 #include <cstddef>
@@ -26,43 +26,48 @@
 
 namespace cherryrail::proxy {
 
-// Turns what the connections, discovery and health checks bring into calls on the Balancer, and carries out
-// what it asks for. Decides nothing itself. Has to outlive the loop's run.
+// Passes events of the connections, discovery and health checks to the Balancer, and carries out the actions
+// that the Balancer requests. Makes no balancing decision itself. Must outlive the run of the event loop.
 class ProxyServer final : public BalancerActions {
  public:
-  // Throws std::runtime_error if clients cannot connect where the configuration says.
+  // Throws std::runtime_error if the listening address of the configuration cannot be used.
   ProxyServer(net::EventLoop& event_loop, const config::RelayConfig& config);
   ~ProxyServer() override;
   ProxyServer(const ProxyServer&) = delete;
   ProxyServer& operator=(const ProxyServer&) = delete;
 
-  // Calls `callback` once clients are accepted.
+  // Calls `callback` once the proxy accepts clients.
   void on_ready(std::function<void()> callback);
   bool is_ready() const { return is_accepting_ && !shutdown_->has_begun(); }
-  // Of any traffic class: how long a client waits for its answer at most.
+  // The longest time that a client of any traffic class waits for its answer.
   Micros longest_client_timeout() const;
 
-  // For operators. Whether a list has named that backend or it is disabled; and those, and no others, are
-  // disabled from now on.
+  // For operators: whether an endpoint list has named the backend or an operator has disabled it.
   bool knows_backend(const std::string& uid) const { return endpoints_.knows(uid); }
+  // For operators: disables exactly these backends, and enables all others.
   void set_disabled_backends(const std::set<std::string>& uids) { endpoints_.set_disabled(uids); }
   ProxyStatistics statistics() const;
-  // Keeps so many more descriptors back from clients.
+  // Withholds `count` more descriptors from clients.
   void reserve_descriptors(std::size_t count) { descriptors_.reserve(count); }
+  // Reads the configuration file again; see ConfigReloader::reload().
   void reload(const std::string& path) { config_reloader_.reload(path); }
 
-  // Without a successor: once no more clients are sent here, migrates every session, and stops the loop.
+  // Shutdown without a successor: waits until clients are no longer routed to this relay, migrates every
+  // session, and stops the event loop.
   void begin_graceful_shutdown();
 
-  // To a successor, instead. Accepts nobody any more, and gives what the balancer has learned.
+  // Hot restart, on the predecessor's side: stops accepting clients, and returns the balancer's state.
   StateSnapshot export_state();
-  // Hands over what can go now; `give` returns whether the successor has got it. True once nothing is left.
-  using Give = std::function<bool(const OutgoingHandover&)>;
-  bool hand_over(const Give& give);
-  void migrate_remaining_sessions();  // what could not be handed over
+  // Hands over the connections that can be handed over now; `send` returns whether the successor has received
+  // the message. Returns true once no connection is left.
+  using SendHandover = std::function<bool(const OutgoingHandover&)>;
+  bool hand_over(const SendHandover& send);
+  // Migrates the sessions that could not be handed over, and stops the event loop.
+  void migrate_remaining_sessions();
+  // Stops the event loop once no session is left, or at the shutdown timeout.
   void stop_when_empty();
 
-  // From a predecessor. Its descriptors and this process's share one limit.
+  // Hot restart, on the successor's side. The descriptors of both processes count against one limit.
   void set_descriptors_held_by_peers(std::size_t count) { descriptors_.set_held_by_peers(count); }
   bool can_receive_handover() const { return descriptors_.allows_use_of_reserve(); }
   void receive_handover(IncomingHandover handover);
@@ -87,14 +92,14 @@
   void start_accepting();
   void on_endpoint_list(const protocol::EndpointList& list, Micros current_until);
   void on_session_requested(const std::shared_ptr<ProxySession>& session);
-  void place(const std::shared_ptr<ProxySession>& session);
+  void admit(const std::shared_ptr<ProxySession>& session);
   void import_state(StateSnapshot state);
   void resume_session(const OpenSession& handover, net::SocketPtr client, net::SocketPtr server);
 
   net::EventLoop& event_loop_;
   const config::SiteSettings settings_;
   InvariantMonitor invariants_;
-  const bool has_inherited_listener_;  // the clients' listening socket: a successor inherits it, too
+  const bool has_inherited_listener_;  // the downstream listening socket, which a successor inherits, too
   DescriptorBudget descriptors_;
   Discovery discovery_;
   HealthChecker health_checker_;
@@ -109,7 +114,7 @@
   UnresponsiveSessionMonitor unresponsive_sessions_;
   std::function<void()> on_ready_;
   bool is_accepting_ = false;
-  // Made last, when everything that a client needs is there.
+  // Created last, once everything that serves clients exists.
   std::unique_ptr<DownstreamListener> downstream_;
   std::unique_ptr<ShutdownSequence> shutdown_;
 };
--- a/src/proxy/shutdown_sequence.cpp
+++ b/src/proxy/shutdown_sequence.cpp
@@ -7,20 +7,20 @@
 namespace {
 
 constexpr Micros kSecond = 1'000'000;
-// How long clients still come after the relay is told to stop: the platform has to hear of it first.
-constexpr Micros kArrivalsAfterStop = 45 * kSecond / 100;
-// The platform waits so long for a relay to stop, however long the clients would.
-constexpr Micros kMaxWaitForClients = 3 * kSecond;
-// After that wait, the sessions that are left are answered or migrated within this time. The process may be
-// held up for 0.15 s and has to end within 0.7 s.
-constexpr Micros kFinalAnswers = 7 * kSecond / 20;
-// No session must have been seen for so long: the clients have yet to read their last lines.
+// How long clients still arrive after the shutdown began, until the platform has noticed it.
+constexpr Micros kClientArrivalPeriod = 45 * kSecond / 100;
+// The longest time that the platform grants for clients' requests to be answered, whatever their timeouts.
+constexpr Micros kMaxClientWait = 3 * kSecond;
+// After the wait for clients, the sessions that are left are answered or migrated within this time. The
+// process has to end within 0.7 s after the wait, although it may be held up for 0.15 s.
+constexpr Micros kFinalAnswerTime = 7 * kSecond / 20;
+// No session may be open for this long before the process stops, so that clients can read their last lines.
 constexpr Micros kEmptyPeriod = kSecond / 4;
 constexpr Micros kCheckInterval = kEmptyPeriod / 10;
-// How long the last lines have to go out, and a line that has begun to end.
+// The time to send the last lines, and to finish a line that has begun.
 constexpr Micros kFlushTime = kSecond / 10;
-// Of that, what the answer to the last client that is accepted needs.
-constexpr Micros kLastAnswerTime = kFlushTime / 5;
+// The part of kFlushTime that the answer to the last accepted client needs.
+constexpr Micros kLastClientAnswerTime = kFlushTime / 5;
 
 }  // namespace
 
@@ -34,26 +34,28 @@
   begun_at_ = event_loop_.now();
 }
 
-// While clients are still sent here, one that is migrated at once may come straight back and be rejected.
-void ShutdownSequence::call_once_clients_stay_away(std::function<void()> migrate) {
-  event_loop_.call_at(event_loop_.now() + kArrivalsAfterStop, std::move(migrate));
+// While the platform still routes clients to this process, a migrated client may reconnect to it and be
+// rejected.
+void ShutdownSequence::call_after_client_arrivals(std::function<void()> migrate) {
+  event_loop_.call_at(event_loop_.now() + kClientArrivalPeriod, std::move(migrate));
 }
 
-void ShutdownSequence::stop_when_empty() { check_again(event_loop_.now()); }
+void ShutdownSequence::stop_when_empty() { schedule_check(event_loop_.now()); }
 
-void ShutdownSequence::check_again(Micros empty_since) {
+void ShutdownSequence::schedule_check(Micros empty_since) {
   event_loop_.call_at(event_loop_.now() + kCheckInterval, [this, empty_since] { check(empty_since); });
 }
 
-// The platform waits for no client that is slow, no backend that hangs and no session that is migrating.
+// The platform does not wait for a slow client, an unresponsive backend or a session that is still migrating,
+// so the process stops at the deadline even if sessions are left.
 void ShutdownSequence::check(Micros empty_since) {
   const Micros now = event_loop_.now();
-  const Micros latest = begun_at_ + std::min(longest_client_timeout_, kMaxWaitForClients) + kFinalAnswers;
+  const Micros deadline = begun_at_ + std::min(longest_client_timeout_, kMaxClientWait) + kFinalAnswerTime;
   const bool is_busy = downstream_.session_count() > 0 || downstream_.has_partial_requests();
-  if (now < latest && is_busy) {
-    check_again(now);
-  } else if (now < latest && now - empty_since < kEmptyPeriod) {
-    check_again(empty_since);
+  if (now < deadline && is_busy) {
+    schedule_check(now);
+  } else if (now < deadline && now - empty_since < kEmptyPeriod) {
+    schedule_check(empty_since);
   } else {
     stop();
   }
@@ -61,7 +63,7 @@
 
 void ShutdownSequence::stop() {
   const Micros quit_at = event_loop_.now() + kFlushTime;
-  downstream_.shut_down(has_successor_, quit_at - kLastAnswerTime);
+  downstream_.shut_down(has_successor_, quit_at - kLastClientAnswerTime);
   event_loop_.call_at(quit_at, [this] {
     const bool is_timeout = downstream_.session_count() > 0;
     event_loop_.log().write(net::Topic::lifecycle, "stopping: {}",
--- a/src/proxy/shutdown_sequence.hpp
+++ b/src/proxy/shutdown_sequence.hpp
@@ -1,4 +1,4 @@
-// The way from the order to stop to the end of the process.
+// The steps of a graceful shutdown, from the order to stop until the event loop ends.
 #pragma once
 
 #include <functional>
@@ -10,21 +10,21 @@
 
 class ShutdownSequence {
  public:
-  // Has to outlive the loop's run, as has the listener. `has_successor`: another process inherits the
-  // clients' listening socket. `longest_client_timeout`: of any traffic class.
+  // This object and `downstream` must outlive the run of the event loop. `has_successor`: another process
+  // inherits the listening socket. `longest_client_timeout`: of all traffic classes.
   ShutdownSequence(net::EventLoop& event_loop, DownstreamListener& downstream, bool has_successor,
                    Micros longest_client_timeout);
 
   bool has_begun() const { return has_begun_; }
-  // From now on the process is not ready for clients, and its time to stop runs.
+  // Marks the process as not ready for clients, and starts the shutdown timeout.
   void begin();
-  // Calls `migrate` once clients are no longer sent here.
-  void call_once_clients_stay_away(std::function<void()> migrate);
-  // Stops the loop once every session is gone, but no later than clients and the platform wait for that.
+  // Calls `migrate` once the platform no longer routes clients to this process.
+  void call_after_client_arrivals(std::function<void()> migrate);
+  // Stops the event loop once every session is gone, or at the shutdown timeout.
   void stop_when_empty();
 
  private:
-  void check_again(Micros empty_since);
+  void schedule_check(Micros empty_since);
   void check(Micros empty_since);
   void stop();
 
--- a/src/proxy/unlisted_backend_queue.cpp
+++ b/src/proxy/unlisted_backend_queue.cpp
@@ -6,33 +6,33 @@
 namespace cherryrail::proxy {
 namespace {
 
-// A change of the endpoint list counts as told so long after discovery had it.
-constexpr Micros kLatestList = 6'000'000;
-// The answer leaves this long before the client stops waiting.
+// A change of the endpoint list is expected to reach the relay within this time after discovery has it.
+constexpr Micros kMaxListDelay = 6'000'000;
+// The rejection is sent this long before the client stops waiting.
 constexpr Micros kAnswerMargin = 20'000;
 
-bool is_over(const std::shared_ptr<ProxySession>& session) {
+bool needs_no_backend(const std::shared_ptr<ProxySession>& session) {
   return !session || session->is_answered || session->pinned_backend;
 }
 
 }  // namespace
 
 void UnlistedBackendQueue::add(const std::shared_ptr<ProxySession>& session) {
-  std::erase_if(waiting_, [](const WeakSession& waiting) { return is_over(waiting.lock()); });
+  std::erase_if(waiting_, [](const WeakSession& waiting) { return needs_no_backend(waiting.lock()); });
   const WeakSession& waiting = waiting_.emplace_back(session);
-  const Micros latest = std::min(event_loop_.now() + kLatestList, session->deadline - kAnswerMargin);
-  event_loop_.call_at(latest, [this, waiting] { give_up(waiting); });
+  const Micros wait_until = std::min(event_loop_.now() + kMaxListDelay, session->deadline - kAnswerMargin);
+  event_loop_.call_at(wait_until, [this, waiting] { on_timeout(waiting); });
 }
 
 void UnlistedBackendQueue::on_endpoint_list(const protocol::EndpointList& list) {
-  const bool names_all = list.is_complete && list.skipped_entries == 0;
+  const bool lists_all_backends = list.is_complete && list.skipped_entries == 0;
   for (const WeakSession& waiting : std::exchange(waiting_, {})) {
     const auto session = waiting.lock();
-    if (is_over(session)) continue;
+    if (needs_no_backend(session)) continue;
     session->pinned_backend = endpoints_.find(session->request().value("at"));
     if (session->pinned_backend) {
       balancer_.admit(session);
-    } else if (names_all) {
+    } else if (lists_all_backends) {
       balancer_.give_up(*session);
     } else {
       waiting_.push_back(waiting);
@@ -40,9 +40,9 @@
   }
 }
 
-void UnlistedBackendQueue::give_up(const WeakSession& waiting) {
+void UnlistedBackendQueue::on_timeout(const WeakSession& waiting) {
   const auto session = waiting.lock();
-  if (!is_over(session)) balancer_.give_up(*session);
+  if (!needs_no_backend(session)) balancer_.give_up(*session);
 }
 
 }  // namespace cherryrail::proxy
--- a/src/proxy/unlisted_backend_queue.hpp
+++ b/src/proxy/unlisted_backend_queue.hpp
@@ -1,4 +1,4 @@
-// Sessions that name a backend of theirs which no endpoint list has named yet.
+// Sessions to be restored at a backend that no endpoint list has named yet.
 #pragma once
 
 #include <memory>
@@ -11,21 +11,22 @@
 
 namespace cherryrail::proxy {
 
-// A list is seconds late, so the backend may be there all the same: such a session waits for a list that
-// names it, and is rejected once one shows that it is gone, or once none can be waited for any longer.
+// Endpoint lists arrive seconds late, so the backend may exist nevertheless. Such a session waits for a list
+// that names its backend. It is rejected once a complete list omits the backend, or at the end of its waiting
+// time.
 class UnlistedBackendQueue {
  public:
   UnlistedBackendQueue(net::EventLoop& event_loop, Balancer& balancer, const EndpointRegistry& endpoints)
       : event_loop_(event_loop), balancer_(balancer), endpoints_(endpoints) {}
 
   void add(const std::shared_ptr<ProxySession>& session);
-  // The registry has taken in that list.
+  // To be called after the registry has applied the list.
   void on_endpoint_list(const protocol::EndpointList& list);
 
  private:
   using WeakSession = std::weak_ptr<ProxySession>;
 
-  void give_up(const WeakSession& waiting);
+  void on_timeout(const WeakSession& waiting);
 
   net::EventLoop& event_loop_;
   Balancer& balancer_;
