--- a/tests/proxy/descriptor_limit_test.cpp
+++ b/tests/proxy/descriptor_limit_test.cpp
@@ -1,4 +1,4 @@
-// A relay that has used the descriptors it may use.
+// The relay at its descriptor limit.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,15 +11,16 @@
 namespace cherryrail::testing {
 namespace {
 
-constexpr std::size_t kDescriptorsOfTheLoop = 6;
+// Descriptors of the process that EventLoop::watch_count() does not include.
+constexpr std::size_t kEventLoopDescriptors = 6;
 
-// Discovery returns and is heard, and the next client that sends a request is served by what it lists.
+// With idle clients up to the limit, the relay can still receive an endpoint list once discovery recovers,
+// and serve the next request by it.
 class DescriptorLimit : public ::testing::TestWithParam<std::size_t> {};
 
-INSTANTIATE_TEST_SUITE_P(SmallestAllowedAQuarterAndTheUsual, DescriptorLimit,
-                         ::testing::Values(16, 256, 1024));
+INSTANTIATE_TEST_SUITE_P(MinimumQuarterAndDefault, DescriptorLimit, ::testing::Values(16, 256, 1024));
 
-TEST_P(DescriptorLimit, IdleClientsLeaveRoomForDiscoveryAndANewSession) {
+TEST_P(DescriptorLimit, IdleClientsLeaveDescriptorsForDiscoveryAndANewSession) {
   const std::size_t limit = GetParam();
   LoopbackRelay relay(1, limit, "", false);
   const int discovery_port = relay.discovery.port();
@@ -33,7 +34,7 @@
     if (i % 50 == 0) relay.event_loop.run_once();
   }
   relay.run_for(100);
-  EXPECT_LE(relay.event_loop.watch_count() + kDescriptorsOfTheLoop, limit);
+  EXPECT_LE(relay.event_loop.watch_count() + kEventLoopDescriptors, limit);
 
   relay.discovery = TestSocket::listening(discovery_port);
   relay.backends.push_back(TestSocket::listening());
@@ -46,28 +47,29 @@
   EXPECT_EQ(relay.backend_index(upstream), 1u);
   upstream.send("UP r\r\n");
   EXPECT_TRUE(relay.run_until([&] { return client.received() == "UP r\r\n"; })) << limit;
-  EXPECT_LE(relay.event_loop.watch_count() + kDescriptorsOfTheLoop, limit);
+  EXPECT_LE(relay.event_loop.watch_count() + kEventLoopDescriptors, limit);
 }
 
-// Connections that send nothing, or a PING and stay, hold descriptors that others need.
-TEST(DescriptorLimits, AFloodOfSilentConnectionsKeepsNobodyFromASession) {
+// Connections that stay open after sending nothing, or only a PING, hold descriptors that sessions need.
+TEST(DescriptorLimits, ManyIdleConnectionsDoNotPreventNewSessions) {
   LoopbackRelay relay(1, 60);
-  std::vector<TestSocket> silent;
+  std::vector<TestSocket> idle_connections;
 
-  for (int i = 0; i < 40; ++i) silent.push_back(relay.connect_client(i % 2 != 0 ? "PING\r\n" : ""));
+  for (int i = 0; i < 40; ++i) idle_connections.push_back(relay.connect_client(i % 2 != 0 ? "PING\r\n" : ""));
   const auto session = relay.establish_session("1");
-  for (int i = 0; i < 40; ++i) silent.push_back(relay.connect_client(i % 2 != 0 ? "PING\r\n" : "OP"));
+  for (int i = 0; i < 40; ++i)
+    idle_connections.push_back(relay.connect_client(i % 2 != 0 ? "PING\r\n" : "OP"));
   const auto another = relay.establish_session("2");
 
   EXPECT_TRUE(relay.run_until(
       [&] {
-        return std::all_of(silent.begin(), silent.end(),
+        return std::all_of(idle_connections.begin(), idle_connections.end(),
                            [](TestSocket& connection) { return connection.is_ended_by_peer(); });
       },
       3000));
 }
 
-TEST(DescriptorLimits, ClientsBeyondTheLimitGetAWholeLineThoughEachWriteTakesAPart) {
+TEST(DescriptorLimits, ClientsBeyondTheLimitGetAWholeLineDespiteShortWrites) {
   const FaultPlanScope scope;
   LoopbackRelay relay(1, 30);
   std::vector<TestSocket> clients;
@@ -88,7 +90,7 @@
   EXPECT_GT(rejected, 20U);
 }
 
-TEST(DescriptorLimits, ClientsBeyondTheLimitAreRejectedAndEstablishedSessionsGoOn) {
+TEST(DescriptorLimits, RejectsClientsBeyondTheLimitAndKeepsEstablishedSessions) {
   LoopbackRelay relay(1, 30);
   std::vector<EstablishedSession> sessions;
   TestSocket rejected;
@@ -110,10 +112,10 @@
   EXPECT_TRUE(relay.run_until([&] { return sessions[0].upstream.received().ends_with("still there\r\n"); }));
 }
 
-// An attempt for which this process has no descriptor was not sent: it is no failure of the backend.
-TEST(DescriptorLimits, AMissingDescriptorIsNoFailureOfTheBackend) {
+// An attempt that fails because this process has no descriptor left has not reached the backend.
+TEST(DescriptorLimits, LackOfDescriptorsIsNotABackendFailure) {
 #ifdef __SANITIZE_ADDRESS__
-  GTEST_SKIP() << "the sanitizers' own checks need descriptors and end the process without them";
+  GTEST_SKIP() << "the sanitizers need descriptors for their own checks and end the process without them";
 #endif
   LoopbackRelay relay(2);
   TestSocket client = relay.connect_client("PING\r\n");
--- a/tests/proxy/discovery_test.cpp
+++ b/tests/proxy/discovery_test.cpp
@@ -1,4 +1,4 @@
-// How a relay follows discovery on sockets.
+// The relay follows the endpoint list of a discovery server over sockets.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -13,7 +13,7 @@
 constexpr const char* kPushedLists =
     R"(,"discovery":"pushed","invariants":{"warm_up":9000,"fall":3000,"stop_sending_within":400})";
 
-TEST(Discovery, ReadsAnIndentedListTornAtAnyByte) {
+TEST(Discovery, ReadsAnIndentedListThatArrivesByteByByte) {
   LoopbackRelay relay(2);
   auto session = relay.establish_session("1");
   const std::size_t index = relay.backend_index(session.upstream);
@@ -29,8 +29,8 @@
   EXPECT_TRUE(relay.run_until([&] { return session.client.received() == "UP r\r\nMOVE\r\n"; }));
 }
 
-// As large as endpoint lists may be: 1,200 backends, each in a zone of its own, and as many relays.
-TEST(Discovery, ReadsTwelveHundredEndpointsWithinASecond) {
+// The largest endpoint list allowed: 1,200 backends, each in its own zone, and as many relays.
+TEST(Discovery, AppliesTheLargestListWithinOneSecond) {
   constexpr std::size_t kEndpoints = 1200;
   LoopbackRelay relay(2, 500, R"(,"balancers":1200)");
   std::vector<std::string> endpoints;
@@ -52,8 +52,7 @@
   EXPECT_LT(relay.event_loop.now() - published_at, 1'000'000);
 }
 
-// Discovery that sends nonsense, or is down, leaves the old list in force and is asked again.
-TEST(Discovery, AfterAMalformedListTheOldOneStaysInForceAndIsAskedForAgain) {
+TEST(Discovery, KeepsThePreviousListAndRetriesAfterAMalformedList) {
   LoopbackRelay relay(1);
 
   relay.publish_endpoints("{\"rev\":5,\"targets\":[{\"no\":\"uid\"}]}");
@@ -66,15 +65,15 @@
   EXPECT_TRUE(relay.run_until([&] { return relay.watch.received().find("after=4 ") != std::string::npos; }));
 }
 
-// A server that lags would bring back what is gone; one that counts from the start must be believed in the
-// end.
-TEST(Discovery, TakesALowerRevisionOnlyOnceItIsRepeated) {
+// A lagging discovery server would bring back backends that are gone, but a server whose version counter has
+// restarted must be followed eventually.
+TEST(Discovery, AcceptsALowerVersionOnlyIfItIsRepeated) {
   LoopbackRelay relay(2);
   auto session = relay.establish_session("1");
   const std::size_t index = relay.backend_index(session.upstream);
-  const std::string lower = endpoint_snapshot(2, {relay.endpoint(1 - index, "active")});
+  const std::string lower_version = endpoint_snapshot(2, {relay.endpoint(1 - index, "active")});
 
-  relay.publish_endpoints(lower);
+  relay.publish_endpoints(lower_version);
   EXPECT_TRUE(relay.run_until([&] { return relay.watch.is_ended_by_peer(); }));
   EXPECT_EQ(session.client.received(), "UP r\r\n");
 
@@ -82,47 +81,48 @@
       [&] {
         if (relay.watch.is_ended_by_peer()) {
           EXPECT_NE(relay.accept_watch().find("after=0 "), std::string::npos);
-          relay.publish_endpoints(lower);
+          relay.publish_endpoints(lower_version);
         }
         return session.client.received() == "UP r\r\nMOVE\r\n";
       },
       4000));
 }
 
-// What a silent watch misses counts as known six seconds after its last word, at 300 relays as at one.
-TEST(Discovery, RenewsAWatchThatFellSilentWithinTheTimeThatIsLeft) {
+// The relay is expected to know a change that a silent watch has missed six seconds after the last line of
+// the watch, with 300 relays as with one.
+TEST(Discovery, RenewsASilentWatchBeforeItsListIsTooOld) {
   LoopbackRelay relay(1, 500, R"(,"balancers":300,"discovery":"on_request",
       "invariants":{"warm_up":9000,"fall":3000,"ask_within":20000})");
   relay.publish_endpoints(endpoint_changes(5, {}));
   relay.run_for(20);
-  const Micros last_word_at = relay.event_loop.now();
+  const Micros last_line_at = relay.event_loop.now();
 
   EXPECT_TRUE(relay.run_until([&] { return relay.watch.is_ended_by_peer(); }, 3500));
   const TestSocket renewed = relay.accept_from(relay.discovery, 2500);
   EXPECT_TRUE(renewed);
 
-  EXPECT_LT(relay.event_loop.now() - last_word_at, 5'500'000);
+  EXPECT_LT(relay.event_loop.now() - last_line_at, 5'500'000);
 }
 
-// A call that hangs while discovery returns is given up, waited for and made again within the six seconds
-// each time, with two left for the answer.
-TEST(Discovery, RenewsACallThatHangsInTimeHoweverOftenThatFailed) {
+// A watch request that was sent while discovery was recovering may hang. Timeout and retry have to fit into
+// six seconds each time, with two seconds left for the response.
+TEST(Discovery, RenewsAHangingWatchInTimeAfterEachFailure) {
   LoopbackRelay relay(1, 500, R"(,"balancers":350,"discovery":"on_request",
       "invariants":{"warm_up":9000,"fall":3000,"ask_within":20000})");
   TestSocket hanging = relay.accept_from(relay.discovery);
   ASSERT_TRUE(hanging);
 
   for (int round = 0; round < 3; ++round) {
-    const Micros called_at = relay.event_loop.now();
+    const Micros requested_at = relay.event_loop.now();
     TestSocket renewed = relay.accept_from(relay.discovery, 5500);
     EXPECT_TRUE(renewed) << round;
-    EXPECT_LE(relay.event_loop.now() - called_at, 5'200'000);
+    EXPECT_LE(relay.event_loop.now() - requested_at, 5'200'000);
     EXPECT_TRUE(hanging.is_ended_by_peer());
     hanging = std::move(renewed);
   }
 }
 
-TEST(Discovery, RenewsAPushedWatchThatBringsNoFirstLine) {
+TEST(Discovery, RenewsAPushedWatchThatReceivesNoFirstLine) {
   LoopbackRelay relay(1, 500, kPushedLists);
 
   TestSocket first = relay.accept_from(relay.discovery);
@@ -133,8 +133,8 @@
   EXPECT_TRUE(first.is_ended_by_peer());
 }
 
-// From a process's first moment on: what it knew may be old, and all its backends may be draining.
-TEST(Discovery, WhereListsArePushedClientsWaitForTheFirstList) {
+// The list in the configuration may be outdated at the start, and all its backends may be draining.
+TEST(Discovery, ClientsWaitForTheFirstPushedList) {
   LoopbackRelay relay(3, 500, kPushedLists);
   std::vector<TestSocket> clients;
   for (int i = 0; i < 6; ++i)
@@ -152,13 +152,13 @@
   EXPECT_FALSE(relay.backends[1].accept());
 }
 
-TEST(Discovery, WhereNoPushedListComesClientsAreServedByTheKnownOne) {
+TEST(Discovery, ServesClientsByTheKnownListIfNoPushedListArrives) {
   LoopbackRelay relay(1, 500, kPushedLists);
 
   relay.establish_session("1");
 }
 
-TEST(Discovery, WithoutAnyListClientsAreRejectedAtOnceAndServedOnceOneComes) {
+TEST(Discovery, RejectsClientsUntilAListArrivesIfNoBackendIsKnown) {
   LoopbackRelay relay(1, 500, "", false);
   std::string config = relay.config_text(500);
   const std::string known = relay.endpoint(0, "active");
@@ -175,31 +175,32 @@
   relay.establish_session("2");
 }
 
-enum class DiscoveryFault { says_nothing, refuses, answers_busy };
+enum class DiscoveryFault { sends_nothing, refuses_connections, responds_busy };
 
-// Nine in ten of the processes that start have to be ready within ten seconds; this one is within two.
+// Nine in ten processes have to be ready within ten seconds of their start; this one has to be within two.
 void expect_ready_in_time(const std::string& extra_settings, DiscoveryFault fault) {
   LoopbackRelay relay(1, 500, extra_settings, false);
-  if (fault == DiscoveryFault::refuses) relay.discovery.close();
+  if (fault == DiscoveryFault::refuses_connections) relay.discovery.close();
   const proxy::ProxyServer proxy(relay.event_loop, relay.relay_config);
   TestSocket client = relay.connect_client("PING\r\n");
 
-  std::vector<TestSocket> calls;
+  std::vector<TestSocket> watches;
   EXPECT_TRUE(relay.run_until([&] {
-    TestSocket call = fault == DiscoveryFault::refuses ? TestSocket() : relay.discovery.accept();
-    if (call) {
-      if (fault == DiscoveryFault::answers_busy) call.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-      calls.push_back(std::move(call));
+    TestSocket watch = fault == DiscoveryFault::refuses_connections ? TestSocket() : relay.discovery.accept();
+    if (watch) {
+      if (fault == DiscoveryFault::responds_busy)
+        watch.send("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+      watches.push_back(std::move(watch));
     }
     return client.received() == "PONG\r\n";
   })) << extra_settings
       << ", fault " << static_cast<int>(fault);
 }
 
-TEST(Discovery, AProcessIsReadyInTimeWhileDiscoveryHangsRefusesOrIsBusy) {
+TEST(Discovery, RelayIsReadyInTimeWhileDiscoveryHangsRefusesOrIsBusy) {
   for (const char* extra_settings : {kPushedLists, R"(,"balancers":350,"discovery":"on_request")"}) {
     for (const DiscoveryFault fault :
-         {DiscoveryFault::says_nothing, DiscoveryFault::refuses, DiscoveryFault::answers_busy})
+         {DiscoveryFault::sends_nothing, DiscoveryFault::refuses_connections, DiscoveryFault::responds_busy})
       expect_ready_in_time(extra_settings, fault);
   }
 }
--- a/tests/proxy/health_checker_test.cpp
+++ b/tests/proxy/health_checker_test.cpp
@@ -1,3 +1,4 @@
+// Health checks of backends over sockets.
 #include <gtest/gtest.h>
 
 #include "support/loopback_relay.hpp"
@@ -5,8 +6,8 @@
 namespace cherryrail::testing {
 namespace {
 
-// That a backend's lines come back does not show its load.
-TEST(HealthChecker, ChecksABackendWhoseSessionsAreAlive) {
+// Lines from a backend show that it is alive but not its load, so health checks continue.
+TEST(HealthChecker, ChecksABackendWithActiveSessions) {
   LoopbackRelay relay(1, 500, R"(,"permissions":{"max_setups":3,"connect_timeout":100,"probing":true})");
   auto session = relay.establish_session("1");
 
--- a/tests/proxy/proxy_shutdown_test.cpp
+++ b/tests/proxy/proxy_shutdown_test.cpp
@@ -1,4 +1,4 @@
-// A relay told to terminate: every client is answered or migrated before the platform kills the process.
+// Graceful shutdown on SIGTERM: every client is answered or migrated before the platform kills the process.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,10 +14,10 @@
 namespace cherryrail::testing {
 namespace {
 
-// The platform kills the process 0.7 s after the longest that a client waits.
-constexpr Micros kKilledAfter = 1'900'000;
+// The platform kills the process 0.7 s after the longest client timeout, here 1.2 s.
+constexpr Micros kKillTimeout = 1'900'000;
 
-// Runs the relay from SIGTERM to its end, and gives how long that took.
+// Runs the relay from SIGTERM to its end, and returns the time that it took.
 Micros terminate(LoopbackRelay& relay) {
   relay.event_loop.on_terminate([&] { relay.proxy->begin_graceful_shutdown(); });
   std::raise(SIGTERM);
@@ -31,7 +31,7 @@
   relay.event_loop.call_at(relay.event_loop.now() + milliseconds * Micros{1000}, std::move(callback));
 }
 
-TEST(ProxyShutdown, MigratesEveryClientAndRejectsThoseThatStillCome) {
+TEST(ProxyShutdown, MigratesEveryClientAndRejectsNewOnes) {
   LoopbackRelay relay(2);
   std::vector<EstablishedSession> sessions;
   for (int i = 0; i < 12; ++i) sessions.push_back(relay.establish_session(std::to_string(i)));
@@ -46,35 +46,35 @@
   }));
   for (auto& session : sessions) EXPECT_EQ(session.client.received(), "UP r\r\nMOVE\r\n");
 
-  TestSocket late = relay.connect_client("OPEN 9b1f 7f3a c=talk,d=1200,g=5c,x=new\r\n");
-  EXPECT_TRUE(relay.run_until([&] { return late.is_ended_by_peer(); }));
-  EXPECT_EQ(late.received(), "BUSY\r\n");
+  TestSocket new_client = relay.connect_client("OPEN 9b1f 7f3a c=talk,d=1200,g=5c,x=new\r\n");
+  EXPECT_TRUE(relay.run_until([&] { return new_client.is_ended_by_peer(); }));
+  EXPECT_EQ(new_client.received(), "BUSY\r\n");
 }
 
-TEST(ProxyShutdown, AnswersAClientWhoseRequestIsNotWhole) {
+TEST(ProxyShutdown, AnswersClientsWithIncompleteRequests) {
   LoopbackRelay relay(1);
   TestSocket slow = relay.connect_client("OPEN 1 1 c=ta");
-  TestSocket never_whole = relay.connect_client("OPEN 2 2 c");
+  TestSocket incomplete = relay.connect_client("OPEN 2 2 c");
   ASSERT_FALSE(relay.run_until([] { return false; }, 20));
 
-  bool has_sent_the_rest = false;
+  bool is_rest_sent = false;
   call_after(relay, 1200, [&] {
-    EXPECT_EQ(slow.received(), "");  // it might never read an answer that comes while it writes
+    EXPECT_EQ(slow.received(), "");  // a client might not read an answer that arrives while it still writes
     slow.send("lk,d=1200\r\n");
-    has_sent_the_rest = true;
+    is_rest_sent = true;
   });
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
-  EXPECT_TRUE(has_sent_the_rest);
+  EXPECT_TRUE(is_rest_sent);
   EXPECT_EQ(slow.received(), "BUSY\r\n");
-  EXPECT_EQ(never_whole.received(), "BUSY\r\n");
+  EXPECT_EQ(incomplete.received(), "BUSY\r\n");
 }
 
-// A client that got a connection gets an answer, to the last one that did.
+// Every client that could connect is answered, including the last.
 TEST(ProxyShutdown, AnswersEveryClientInTheBacklog) {
   LoopbackRelay relay(1);
   std::vector<TestSocket> clients;
-  std::size_t connected = 0;  // the first so many; the listener is closed to the others
+  std::size_t connected = 0;  // clients that connected, all before the listener was closed
   std::function<void()> connect = [&] {
     clients.push_back(TestSocket::connected_to(relay.port));
     const std::string request = "OPEN " + std::to_string(clients.size()) + " 1 c=talk,d=1200\r\n";
@@ -83,16 +83,16 @@
   };
 
   call_after(relay, 500, connect);
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
   ASSERT_GT(connected, 50u);
   for (std::size_t i = 0; i < connected; ++i)
     EXPECT_EQ(clients[i].received(), "BUSY\r\n") << i << " of " << connected;
 }
 
-// The relay stops accepting some 730 ms after SIGTERM and ends 100 ms later. Whoever waits in the backlog
-// while the system has no descriptor left is answered in between.
-TEST(ProxyShutdown, AnswersTheBacklogThoughAcceptFailsAtTheEnd) {
+// The relay stops accepting about 730 ms after SIGTERM and ends 100 ms later. Clients that wait in the
+// backlog because accept() fails for lack of system resources are answered in between.
+TEST(ProxyShutdown, AnswersTheBacklogAfterAcceptFailedNearTheEnd) {
   for (const int error : {ENFILE, ENOBUFS}) {
     const FaultPlanScope scope;
     LoopbackRelay relay(1);
@@ -105,14 +105,14 @@
         clients.push_back(relay.connect_client("OPEN " + std::to_string(i) + " 1 c=talk,d=1200\r\n"));
     });
     call_after(relay, 770, [] { fault_plan().accept.error_number = 0; });
-    EXPECT_LT(terminate(relay), kKilledAfter);
+    EXPECT_LT(terminate(relay), kKillTimeout);
 
     ASSERT_EQ(clients.size(), 5u);
     for (TestSocket& client : clients) EXPECT_EQ(client.received(), "BUSY\r\n") << error;
   }
 }
 
-TEST(ProxyShutdown, AnswersEachClientWithAWholeLineThoughEachWriteTakesAPart) {
+TEST(ProxyShutdown, AnswersEachClientWithAWholeLineDespiteShortWrites) {
   const FaultPlanScope scope;
   LoopbackRelay relay(1);
   std::vector<TestSocket> clients;
@@ -121,38 +121,38 @@
   relay.run_for(20);
 
   fault_plan().short_io_per_mille = 1000;
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
   EXPECT_EQ(clients[0].received(), "BUSY\r\n");
   EXPECT_EQ(clients[1].received(), "BUSY\r\n");
   EXPECT_EQ(clients[2].received(), "PONG\r\nBUSY\r\n");
 }
 
-TEST(ProxyShutdown, AnswersEachClientThoughTheFirstWriteWouldBlock) {
+TEST(ProxyShutdown, AnswersEachClientIfTheFirstWriteWouldBlock) {
   const FaultPlanScope scope;
   LoopbackRelay relay(1);
   TestSocket client = relay.connect_client("OPEN 1 1 c");
   relay.run_for(20);
 
-  // After discovery was asked again, and before the clients that are left are answered.
+  // After the discovery request was retried, and before the remaining clients are answered.
   call_after(relay, 1500, [] {
     fault_plan().send.error_number = EAGAIN;
     fault_plan().send.remaining = 1;
   });
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
   EXPECT_EQ(fault_plan().send.remaining, 0);
   EXPECT_EQ(client.received(), "BUSY\r\n");
 }
 
-// A process that follows another has its clients from the first moment, and may be told to stop at once.
-TEST(ProxyShutdown, AnswersClientsThatConnectedBeforeItAccepted) {
+// Clients may connect as soon as the process listens, and it may be terminated before it accepts them.
+TEST(ProxyShutdown, AnswersClientsThatConnectedBeforeTheRelayAccepts) {
   LoopbackRelay relay(1, 500,
                       R"(,"discovery":"pushed","invariants":{"warm_up":9000,"fall":3000,
       "stop_sending_within":400})");
   TestSocket client = relay.connect_client("OPEN 1 1 c=talk,d=1200\r\n");
 
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
   EXPECT_EQ(client.received(), "BUSY\r\n");
 }
@@ -164,60 +164,62 @@
   TestSocket client = relay.connect_client("OPEN 1 1 c=talk,d=9000\r\n");
   TestSocket upstream = relay.accept_attempt();
 
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
   EXPECT_EQ(client.received(), "BUSY\r\n");
   EXPECT_TRUE(upstream.is_ended_by_peer());
 }
 
-// The last clients are answered 100 ms before the process ends.
-void hold_up_before_the_end(LoopbackRelay& relay, TestSocket& last_client) {
+// Blocks the event loop for 150 ms, 80 ms after the last clients were answered. The process ends 100 ms after
+// that answer.
+void block_loop_before_end(LoopbackRelay& relay, TestSocket& last_client) {
   call_after(relay, 5, [&] {
     if (last_client.is_ended_by_peer()) {
       call_after(relay, 80, [] { fault_plan().hold_up_ms = 150; });
     } else {
-      hold_up_before_the_end(relay, last_client);
+      block_loop_before_end(relay, last_client);
     }
   });
 }
 
-TEST(ProxyShutdown, EndsBeforeItIsKilledThoughItIsHeldUpAtTheEnd) {
+TEST(ProxyShutdown, EndsBeforeTheKillTimeoutIfTheEventLoopIsBlockedNearTheEnd) {
   const FaultPlanScope scope;
   LoopbackRelay relay(1);
   TestSocket slow = relay.connect_client("OPEN 1 1 c");
   relay.run_for(20);
 
-  hold_up_before_the_end(relay, slow);
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  block_loop_before_end(relay, slow);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
   EXPECT_EQ(fault_plan().hold_up_ms, 0);
 }
 
-TEST(ProxyShutdown, MigratesASessionThatIsRestoredMeanwhile) {
+TEST(ProxyShutdown, MigratesASessionThatIsRestoredDuringShutdown) {
   LoopbackRelay relay(1);
   TestSocket client = relay.connect_client("OPEN 1 5 c=talk,d=20000,at=s-0\r\n");
   TestSocket upstream = relay.accept_attempt();
 
   call_after(relay, 700, [&] { upstream.send("UP 9\r\n"); });
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
   EXPECT_EQ(client.received(), "UP 9\r\nMOVE\r\n");
 }
 
-// Its backend has the request: to be told to come again could have it run twice.
-TEST(ProxyShutdown, FailsASessionThatMayBeRestoredAndMustNotRunTwice) {
+// The backend has received the request, so a rejection, after which the client retries, could make it run
+// twice.
+TEST(ProxyShutdown, FailsAnAtMostOnceSessionWhoseRestoreIsPending) {
   LoopbackRelay relay(1, 500,
                       R"(,"profiles":[{"name":"talk","setup_goal":300.0,"client_timeout":1200.0,"payoff":1.0,
       "semantics":"at_most_once"}])");
   TestSocket client = relay.connect_client("OPEN 1 5 c=talk,d=20000,at=s-0\r\n");
   const TestSocket upstream = relay.accept_attempt();
 
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
   EXPECT_EQ(client.received(), "ERR\r\n");
 }
 
-TEST(ProxyShutdown, IsNotHeldUpByAMigrationThatWaitsForTheEndOfALine) {
+TEST(ProxyShutdown, EndsInTimeWhileMigrationsWaitForTheEndOfALine) {
   LoopbackRelay relay(1);
   std::vector<EstablishedSession> sessions;
   for (int i = 0; i < 4; ++i) sessions.push_back(relay.establish_session(std::to_string(i)));
@@ -226,16 +228,16 @@
   call_after(relay, 1600, [&] {
     for (const auto& session : sessions) session.upstream.send_some("ne\r\n");
   });
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 }
 
-TEST(ProxyShutdown, HappensOnceWhenToldTwiceAndAfterAReload) {
+TEST(ProxyShutdown, RunsOnceAfterAReloadAndTwoSignals) {
   LoopbackRelay relay(2);
   auto session = relay.establish_session("1");
   call_after(relay, 300, [] { std::raise(SIGTERM); });
 
   relay.reload_config(relay.config_text(400));
-  EXPECT_LT(terminate(relay), kKilledAfter);
+  EXPECT_LT(terminate(relay), kKillTimeout);
 
   EXPECT_EQ(session.client.received(), "UP r\r\nMOVE\r\n");
 }
--- a/tests/proxy/reload_test.cpp
+++ b/tests/proxy/reload_test.cpp
@@ -1,4 +1,5 @@
-// A new configuration on SIGHUP: sessions stay, and of two discovery servers one is followed at a time.
+// Reload of the configuration on SIGHUP: sessions are kept, and only one discovery server is followed at a
+// time.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -11,7 +12,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(Reload, KeepsSessionsAndFollowsTheOldDiscoveryServerUntilTheNewOneSpeaks) {
+TEST(Reload, KeepsSessionsAndFollowsTheOldDiscoveryServerUntilTheNewOneSendsALine) {
   LoopbackRelay relay(3);
   auto session = relay.establish_session("1");
   relay.publish_endpoints(endpoint_changes(6, {}));
@@ -20,11 +21,11 @@
 
   TestSocket next_discovery = TestSocket::listening();
   relay.discovery = TestSocket::listening();
-  const int port_without_server = relay.discovery.port();
-  const std::string unusable_server = relay.config_text(500);
+  const int unused_port = relay.discovery.port();
+  const std::string unreachable_discovery = relay.config_text(500);
   relay.discovery.close();
-  relay.reload_config(unusable_server);
-  EXPECT_FALSE(old_watch.is_ended_by_peer()) << port_without_server;
+  relay.reload_config(unreachable_discovery);
+  EXPECT_FALSE(old_watch.is_ended_by_peer()) << unused_port;
 
   relay.discovery = std::move(next_discovery);
   relay.reload_config(relay.config_text(500));
@@ -41,7 +42,7 @@
   EXPECT_TRUE(relay.run_until([&] { return session.client.received() == "UP r\r\nMOVE\r\n"; }));
 }
 
-TEST(Reload, AConfigurationThatCannotBeUsedLeavesTheOldOneInForce) {
+TEST(Reload, KeepsTheConfigurationIfTheNewOneIsInvalid) {
   LoopbackRelay relay(1);
   std::string faulty = relay.config_text(500);
   faulty.replace(faulty.find("300.0"), 5, "\"x\"");
@@ -56,7 +57,7 @@
   relay.establish_session("1");
 }
 
-TEST(Reload, FollowsTheOldDiscoveryServerWhileTheNewOneAcceptsAndNeverSpeaks) {
+TEST(Reload, FollowsTheOldDiscoveryServerWhileTheNewOneAcceptsButSendsNothing) {
   LoopbackRelay relay(2);
   auto session = relay.establish_session("1");
   const std::size_t index = relay.backend_index(session.upstream);
@@ -68,14 +69,14 @@
   relay.watch = relay.accept_from(relay.discovery);
   EXPECT_TRUE(relay.watch);
   relay.reload_config(relay.config_text(500));
-  EXPECT_FALSE(relay.discovery.accept());  // two reloads within a second make one call
+  EXPECT_FALSE(relay.discovery.accept());  // two reloads within one second start one watch
 
   old_watch.send(http_chunk(std::string(511, ' ') + "\n"));
   old_watch.send(http_chunk(endpoint_changes(6, {relay.endpoint(index, "leaving")}) + "\n"));
   EXPECT_TRUE(relay.run_until([&] { return session.client.received() == "UP r\r\nMOVE\r\n"; }));
 }
 
-TEST(Reload, AsksTheNewDiscoveryServerAtOnceHoweverOftenTheOldOneFailed) {
+TEST(Reload, AsksTheNewDiscoveryServerAtOnceAfterFailuresOfTheOldOne) {
   LoopbackRelay relay(2, 500,
                       R"(,"balancers":300,"discovery":"on_request","invariants":{"ask_within":20000})");
   auto session = relay.establish_session("1");
@@ -90,7 +91,7 @@
   EXPECT_TRUE(relay.run_until([&] { return session.client.received() == "UP r\r\nMOVE\r\n"; }, 500));
 }
 
-TEST(Reload, AMuchSmallerLimitLeavesDescriptorsForClients) {
+TEST(Reload, MuchLowerDescriptorLimitLeavesDescriptorsForClients) {
   LoopbackRelay relay(1);
 
   relay.reload_config(relay.config_text(20));
@@ -98,10 +99,10 @@
   relay.establish_session("1");
 }
 
-// The platform has written the file and told the relay of it; it does not tell again.
-TEST(Reload, AFileThatCannotBeReadAtTheSignalIsReadOnceItCan) {
+// The platform sends one signal for each new configuration file, so the relay itself has to retry.
+TEST(Reload, RetriesAFileThatCannotBeReadAtTheSignal) {
 #ifdef __SANITIZE_ADDRESS__
-  GTEST_SKIP() << "the sanitizers' own checks need descriptors and end the process without them";
+  GTEST_SKIP() << "the sanitizers need descriptors for their own checks and end the process without them";
 #endif
   LoopbackRelay relay(1);
   const TemporaryFolder folder;
