--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -14,12 +14,12 @@
 
 using protocol::HttpStatus;
 
-// The keys of the API, in the words that operators' tools know.
+// JSON keys of the API, which operators' tools depend on.
 constexpr const char* kBackendKey = "who";
 constexpr const char* kDisabledKey = "banned";
 
-// The uid that the body of a request names; none if it names none.
-std::optional<std::string> backend_named_in(const std::string& body) {
+// The backend uid in the body of a request; none if the body is malformed or has no uid.
+std::optional<std::string> parse_backend_uid(const std::string& body) {
   const auto json = nlohmann::json::parse(body, nullptr, false);
   if (!json.is_object()) return std::nullopt;
   const auto name = json.find(kBackendKey);
@@ -33,8 +33,8 @@
   return {HttpStatus::ok, R"({"ready":true})"};
 }
 
-// As the log has it, as a key: "rejected reason=no_backend" is rejected_no_backend.
-std::string key_of(std::string_view result) {
+// The JSON key of a result as it is logged: "rejected reason=no_backend" becomes rejected_no_backend.
+std::string statistics_key(std::string_view result) {
   constexpr std::string_view kSeparator = " reason=";
   const std::size_t position = result.find(kSeparator);
   if (position == std::string_view::npos) return std::string(result);
@@ -44,7 +44,8 @@
 template <class Counts>
 nlohmann::json counts_by_result(const Counts& counts) {
   nlohmann::json object = nlohmann::json::object();
-  counts.for_each([&object](auto result, std::uint64_t count) { object[key_of(to_string(result))] = count; });
+  counts.for_each(
+      [&object](auto result, std::uint64_t count) { object[statistics_key(to_string(result))] = count; });
   return object;
 }
 
@@ -73,7 +74,7 @@
 
 AdminResponse set_disabled(DisabledBackendsSync& disabled_backends, const std::string& body,
                            bool is_disabled) {
-  const auto uid = backend_named_in(body);
+  const auto uid = parse_backend_uid(body);
   if (!uid) return error_response(HttpStatus::bad_request, "the body is not JSON with a text `who`");
   const auto result = disabled_backends.set_disabled(*uid, is_disabled);
   if (result == DisabledBackendsSync::ChangeResult::unknown_backend)
--- a/src/admin/admin_api.hpp
+++ b/src/admin/admin_api.hpp
@@ -1,4 +1,4 @@
-// What operators and the platform can ask of a running relay over HTTP.
+// The HTTP API of a running relay for operators and the platform.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace cherryrail::admin {
 
-// GET /ready, GET /stats, POST /backends/disable and POST /backends/enable. Both arguments have to outlive
+// GET /ready, GET /stats, POST /backends/disable and POST /backends/enable. Both arguments must outlive
 // the routes.
 std::vector<Route> admin_api_routes(proxy::ProxyServer& proxy, DisabledBackendsSync& disabled_backends);
 
--- a/src/admin/admin_connection.cpp
+++ b/src/admin/admin_connection.cpp
@@ -12,13 +12,13 @@
 using protocol::HttpRequest;
 using protocol::HttpStatus;
 
-constexpr std::size_t kLongestLoggedPath = 80;  // longer ones are nobody's but a scanner's
+constexpr std::size_t kMaxLoggedPathLength = 80;  // only scanners send longer paths
 constexpr Micros kMicrosInMillisecond = 1000;
 
 std::string or_dash(const std::string& text) { return text.empty() ? "-" : text; }
 
 std::string response_head(const AdminResponse& response) {
-  const std::size_t content_length = response.body.size() + 1;  // with the line end after it
+  const std::size_t content_length = response.body.size() + 1;  // including the line end
   return "HTTP/1.1 " + std::to_string(protocol::status_code(response.status)) + " " +
          protocol::reason_phrase(response.status) +
          "\r\nContent-Type: application/json\r\nConnection: close\r\nContent-Length: " +
@@ -76,8 +76,9 @@
 void AdminConnection::finish(std::string_view result) {
   if (std::exchange(is_finished_, true)) return;
   event_loop_.log().write(net::Topic::connection, "admin={} {} result={} duration_ms={}",
-                          or_dash(request_.method()), or_dash(request_.path().substr(0, kLongestLoggedPath)),
-                          result, (event_loop_.now() - started_at_) / kMicrosInMillisecond);
+                          or_dash(request_.method()),
+                          or_dash(request_.path().substr(0, kMaxLoggedPathLength)), result,
+                          (event_loop_.now() - started_at_) / kMicrosInMillisecond);
 }
 
 }  // namespace cherryrail::admin
--- a/src/admin/admin_connection.hpp
+++ b/src/admin/admin_connection.hpp
@@ -1,4 +1,4 @@
-// One connection of an operator: one HTTP/1.1 request, one response.
+// A connection to the admin server: one HTTP/1.1 request and its response.
 #pragma once
 
 #include <memory>
@@ -11,7 +11,7 @@
 
 namespace cherryrail::admin {
 
-// Made by the admin server for each connection. Each ends with one line in the log.
+// Created by the admin server for each connection. Writes one log line at its end.
 class AdminConnection final : public net::ConnectionHandler {
  public:
   AdminConnection(net::EventLoop& event_loop, const RouteTable& routes);
@@ -21,15 +21,15 @@
   AdminConnection(AdminConnection&&) = delete;
   AdminConnection& operator=(AdminConnection&&) = delete;
 
-  // Called once, before anything else; reads at once what has come.
+  // To be called once, before any other function. Reads the data that has been received already.
   void start(net::SocketPtr socket);
-  // Answers a request that is not complete yet with 408.
+  // Answers an incomplete request with status 408.
   void on_request_timeout();
-  // Closes the connection in favour of another.
+  // Closes the connection to make room for another.
   void evict();
 
   [[nodiscard]] Micros last_received_at() const { return last_received_at_; }
-  // The response is on its way, or nobody waits for one any more.
+  // Whether the response has been sent or is no longer needed.
   [[nodiscard]] bool is_finished() const { return is_finished_; }
   [[nodiscard]] bool is_closed() const { return !connection_->is_open(); }
 
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -8,10 +8,10 @@
 namespace cherryrail::admin {
 namespace {
 
-// A request fits in one packet; what has not come by then does not come.
+// A request fits into one packet, so one that is incomplete after this time is not expected to be completed.
 constexpr Micros kRequestTimeout = 5'000'000;
 
-// Those that have their answer go first, then the one that has been silent longest.
+// Answered connections are evicted first, then the one that has been idle longest.
 bool is_evicted_before(const std::shared_ptr<AdminConnection>& left,
                        const std::shared_ptr<AdminConnection>& right) {
   if (left->is_finished() != right->is_finished()) return left->is_finished();
@@ -30,18 +30,19 @@
 AdminServer::~AdminServer() = default;
 
 void AdminServer::accept(net::SocketPtr socket) {
-  make_room();
+  evict_if_full();
   const auto connection = std::make_shared<AdminConnection>(event_loop_, routes_);
   connections_.push_back(connection);
   connection->start(std::move(socket));
   event_loop_.call_at(event_loop_.now() + kRequestTimeout,
                       [weak = std::weak_ptr<AdminConnection>(connection)] {
-                        if (const auto late = weak.lock()) late->on_request_timeout();
+                        if (const auto self = weak.lock()) self->on_request_timeout();
                       });
 }
 
-// Callers that hold a connection and never complete their request would otherwise keep the next one out.
-void AdminServer::make_room() {
+// Otherwise, operators that never complete their requests would hold all connections and block further
+// requests.
+void AdminServer::evict_if_full() {
   std::erase_if(connections_, [](const auto& connection) { return connection->is_closed(); });
   if (connections_.size() < kMaxConnections) return;
   const auto evicted = std::min_element(connections_.begin(), connections_.end(), is_evicted_before);
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,4 +1,4 @@
-// Where operators call: listens at an address of its own and answers one HTTP/1.1 request to a connection.
+// The HTTP/1.1 server for operators: has its own listening address and answers one request per connection.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +14,10 @@
 
 class AdminServer {
  public:
-  // At once; their descriptors are kept back from clients.
+  // Maximum number of open connections, whose descriptors are withheld from clients.
   static constexpr std::size_t kMaxConnections = 12;
 
-  // Throws std::runtime_error if it cannot listen there.
+  // Throws std::runtime_error if the server cannot listen at `address`.
   AdminServer(net::EventLoop& event_loop, const net::Address& address, std::vector<Route> routes);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
@@ -27,7 +27,7 @@
 
  private:
   void accept(net::SocketPtr socket);
-  void make_room();
+  void evict_if_full();
 
   net::EventLoop& event_loop_;
   const RouteTable routes_;
--- a/src/admin/admin_services.cpp
+++ b/src/admin/admin_services.cpp
@@ -10,7 +10,7 @@
 namespace cherryrail::admin {
 namespace {
 
-// Empty if operators cannot call, or if there is no folder to keep the file in.
+// Empty if there is no admin server or no state directory.
 std::string disabled_backends_path(const config::RelayConfig& relay_config) {
   if (relay_config.admin.empty() || relay_config.state_directory.empty()) return "";
   return relay_config.state_directory + "/" + state_file_name(relay_config.name, kDisabledBackendsSuffix);
--- a/src/admin/admin_services.hpp
+++ b/src/admin/admin_services.hpp
@@ -1,4 +1,4 @@
-// Composes what runs in a relay beside its traffic.
+// Owns the services of a relay process that carry no traffic.
 #pragma once
 
 #include <memory>
@@ -12,20 +12,20 @@
 
 namespace cherryrail::admin {
 
-// The admin server, the disabled backends and the hot restart of one process. Main makes one beside the
+// The admin server, the disabled backends and the hot restart of one process. main() creates one beside the
 // proxy.
 class AdminServices {
  public:
-  // Throws ConfigError if the admin server cannot listen where `mgmt` says.
+  // Throws ConfigError if the admin server cannot listen at the address in the setting `mgmt`.
   AdminServices(net::EventLoop& event_loop, proxy::ProxyServer& proxy,
                 const config::RelayConfig& relay_config);
 
-  // At the signal to end: hands over to a successor if there is one, else lets the proxy shut down.
+  // On SIGTERM: hands over to a successor if there is one; otherwise shuts the proxy down gracefully.
   void shut_down() { hot_restart_.shut_down(); }
 
  private:
   DisabledBackendsSync disabled_backends_;
-  std::unique_ptr<AdminServer> admin_server_;  // none if the configuration names no address for it
+  std::unique_ptr<AdminServer> admin_server_;  // null if no admin address is configured
   HotRestartCoordinator hot_restart_;
 };
 
--- a/src/admin/disabled_backends.cpp
+++ b/src/admin/disabled_backends.cpp
@@ -19,25 +19,25 @@
 namespace cherryrail::admin {
 namespace {
 
-// Some ten thousand names; what is longer was not written by a relay.
-constexpr std::size_t kLargestFile = std::size_t{1} << 20;
+// Enough for some ten thousand uids; a relay does not write longer files.
+constexpr std::size_t kMaxFileBytes = std::size_t{1} << 20;
 constexpr mode_t kOwnerOnly = 0600;
-// Writing the file takes a millisecond or two.
+// Another process holds the lock while it writes the file, which takes one or two milliseconds.
 constexpr int kLockAttempts = 20;
 constexpr int kLockPauseMilliseconds = 1;
-// The file's one key, in the word of the build that first wrote it. Builds before and after share the file.
-constexpr const char* kNamesKey = "bans";
+// The only key of the file. Earlier and later builds share the file, so the key must not change.
+constexpr const char* kUidsKey = "bans";
 
 std::error_code last_system_error() { return {errno, std::generic_category()}; }
 
 std::string read_text(std::ifstream& file) {
-  std::string text(kLargestFile, '\0');
+  std::string text(kMaxFileBytes, '\0');
   file.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(file.gcount()));
   return text;
 }
 
-// The kernel may take a part, or be interrupted.
+// write() may write a part only, or be interrupted.
 std::error_code write_all(int fd, std::string_view text) {
   while (!text.empty()) {
     const ssize_t written = write(fd, text.data(), text.size());
@@ -49,7 +49,7 @@
   return {};
 }
 
-// On the disk, not only on its way there: the file takes another's place next.
+// Syncs the file to disk, because it replaces another file next.
 std::error_code write_file(const std::string& path, std::string_view text) {
   net::FileDescriptor file(open(path.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, kOwnerOnly));
   if (!file) return last_system_error();
@@ -59,7 +59,8 @@
   return {};
 }
 
-// Waits for the lock for a moment only: a process that was stopped while it had it must not stop this one.
+// Proceeds without the lock after a short wait: a process that was suspended while it held the lock must not
+// block this one.
 net::FileDescriptor lock_file(const std::string& path) {
   net::FileDescriptor lock(open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, kOwnerOnly));
   for (int attempt = 0; lock && attempt < kLockAttempts; ++attempt) {
@@ -98,8 +99,8 @@
   return load();
 }
 
-// A file that is damaged or cannot be read must neither end the process nor enable a backend again: the names
-// stay as they were, and it is read again at the next call.
+// A damaged or unreadable file must neither end the process nor enable a backend again: the set stays as it
+// was, and the file is read again at the next call.
 bool DisabledBackends::load() {
   const bool is_expected_to_exist = loaded_version_->size >= 0;
   error_.reset();
@@ -112,7 +113,7 @@
     return false;
   }
   try {
-    names_ = nlohmann::json::parse(read_text(file)).at(kNamesKey).get<std::set<std::string>>();
+    uids_ = nlohmann::json::parse(read_text(file)).at(kUidsKey).get<std::set<std::string>>();
   } catch (const nlohmann::json::exception& error) {
     error_ = StorageError{StorageError::Operation::parse, path_, {}, error.what()};
     loaded_version_.reset();
@@ -122,20 +123,20 @@
   return true;
 }
 
-// What the file does not know of yet holds all the same.
+// Changes that are not stored yet take precedence over the file.
 void DisabledBackends::apply_pending_changes() {
-  for (const auto& [name, is_disabled] : pending_changes_) {
+  for (const auto& [uid, is_disabled] : pending_changes_) {
     if (is_disabled)
-      names_.insert(name);
+      uids_.insert(uid);
     else
-      names_.erase(name);
+      uids_.erase(uid);
   }
 }
 
-bool DisabledBackends::set_disabled(const std::string& name, bool is_disabled) {
+bool DisabledBackends::set_disabled(const std::string& uid, bool is_disabled) {
   reload_if_changed();
-  if (names_.contains(name) == is_disabled && pending_changes_.empty() && !error_) return true;
-  pending_changes_[name] = is_disabled;
+  if (uids_.contains(uid) == is_disabled && pending_changes_.empty() && !error_) return true;
+  pending_changes_[uid] = is_disabled;
   apply_pending_changes();
   return store_pending_changes();
 }
@@ -143,8 +144,8 @@
 bool DisabledBackends::store_pending_changes() {
   if (path_.empty()) pending_changes_.clear();
   if (pending_changes_.empty()) return true;
-  // Held while the file is read, changed and replaced: operators may call two processes at once, and what the
-  // other one has stored a moment ago must not be overwritten.
+  // Held while the file is read, changed and replaced: another process may handle an operator's request at
+  // the same time, and its change must not be overwritten.
   const net::FileDescriptor lock = lock_file(path_ + ".lock");
   reload_if_changed();
   if (const std::error_code code = store()) {
@@ -157,10 +158,10 @@
   return true;
 }
 
-// The file is written under another name, then renamed: a process that dies half-way leaves the old file.
+// Writes the file under another name, then renames it: if the process dies meanwhile, the old file is kept.
 std::error_code DisabledBackends::store() const {
   const std::string new_path = path_ + ".new";
-  const std::string text = nlohmann::json{{kNamesKey, names_}}.dump() + "\n";
+  const std::string text = nlohmann::json{{kUidsKey, uids_}}.dump() + "\n";
   if (const std::error_code code = write_file(new_path, text)) return code;
   if (std::rename(new_path.c_str(), path_.c_str()) != 0) return last_system_error();
   return {};
--- a/src/admin/disabled_backends.hpp
+++ b/src/admin/disabled_backends.hpp
@@ -1,4 +1,4 @@
-// The backends that operators have disabled, as a set in a small file that all processes of a relay share.
+// The set of backends that operators have disabled, stored in a file that all processes of a relay share.
 #pragma once
 
 #include <cstdint>
@@ -16,42 +16,42 @@
 
   Operation operation = Operation::read;
   std::string path;
-  std::error_code code;  // of the system call that failed; none for a file that is damaged
-  std::string detail;    // where and how a damaged file is wrong
+  std::error_code code;  // of the failed system call; none for a damaged file
+  std::string detail;    // the parse error of a damaged file
 
   // For the log: the path and the reason.
   [[nodiscard]] std::string message() const;
   bool operator==(const StorageError&) const = default;
 };
 
-// The set in this process, and the file behind it. Several processes may change the file at once: a lock
-// beside it keeps one from losing what the other has stored. A change that the file does not take holds in
-// this process and is kept until the file takes it.
+// The set in this process and its file. Several processes may change the file at once; a lock file prevents
+// one from overwriting what the other has stored. A change that cannot be stored applies in this process and
+// stays pending until the file can be written.
 class DisabledBackends {
  public:
-  // Reads the file. With an empty path nothing is kept beyond this process.
+  // Reads the file. With an empty path, the set is not stored.
   explicit DisabledBackends(std::string path);
 
   // Whether each of these backends is disabled, by uid.
   using Changes = std::map<std::string, bool>;
 
   // The uids of the backends.
-  [[nodiscard]] const std::set<std::string>& names() const { return names_; }
-  // True if the file had changed and was read. False if it had not, or cannot be used: then error() tells why
-  // and the names stay as they were.
+  [[nodiscard]] const std::set<std::string>& uids() const { return uids_; }
+  // Returns true if the file has changed and was read, false if it is unchanged or cannot be used. In the
+  // latter case error() has the reason and the set stays as it was.
   bool reload_if_changed();
-  // Adds or removes one backend, here and in the file. False if the file could not be written: then the
-  // change holds for this process alone until it can be, and error() tells why.
-  bool set_disabled(const std::string& name, bool is_disabled);
-  // Tries again to write what could not be written. True if nothing is left.
+  // Adds or removes one backend, in this process and in the file. Returns false if the file could not be
+  // written: error() has the reason, and the change applies in this process only until it can be stored.
+  bool set_disabled(const std::string& uid, bool is_disabled);
+  // Tries again to store the pending changes. Returns true if none is left.
   bool store_pending_changes();
-  // What the file does not have yet.
+  // The changes that are not stored in the file yet.
   [[nodiscard]] const Changes& pending_changes() const { return pending_changes_; }
-  // Of the last use of the file; none if that went well.
+  // The error of the last use of the file; none if it succeeded.
   [[nodiscard]] const std::optional<StorageError>& error() const { return error_; }
 
  private:
-  // Tells one state of the file from another without reading it.
+  // Detects changes of the file without reading it.
   struct FileVersion {
     std::uint64_t inode = 0;
     std::int64_t modified_seconds = 0;
@@ -66,7 +66,7 @@
   [[nodiscard]] std::error_code store() const;
 
   std::string path_;
-  std::set<std::string> names_;
+  std::set<std::string> uids_;
   Changes pending_changes_;
   std::optional<StorageError> error_;
   std::optional<FileVersion> loaded_version_ = FileVersion{};  // none if the file could not be read
--- a/src/admin/disabled_backends_sync.cpp
+++ b/src/admin/disabled_backends_sync.cpp
@@ -5,7 +5,7 @@
 namespace cherryrail::admin {
 namespace {
 
-// How late a call to the other process holds here. To look at a file that has not changed costs one system
+// The delay until this process notices a change by another one. Polling an unchanged file costs one system
 // call.
 constexpr Micros kPollInterval = 100'000;
 
@@ -24,8 +24,8 @@
                                                                       bool is_disabled) {
   if (disabled_backends_.reload_if_changed()) apply();
   if (!proxy_.knows_backend(uid)) return ChangeResult::unknown_backend;
-  // The result is not asked for: a full disk must not keep an operator from disabling a backend. What is not
-  // stored is tried again with each look at the file.
+  // The result is ignored: a full disk must not prevent an operator from disabling a backend. Changes that
+  // are not stored are retried each time the file is polled.
   disabled_backends_.set_disabled(uid, is_disabled);
   apply();
   return ChangeResult::applied;
@@ -38,11 +38,11 @@
 
 void DisabledBackendsSync::apply() {
   const auto& error = disabled_backends_.error();
-  const bool is_news = error != std::exchange(logged_error_, error);
-  if (error && is_news)
+  const bool is_new_error = error != std::exchange(logged_error_, error);
+  if (error && is_new_error)
     event_loop_.log().write(net::Topic::error, "disabled backends are known to this process alone: {}",
                             error->message());
-  proxy_.set_disabled_backends(disabled_backends_.names());
+  proxy_.set_disabled_backends(disabled_backends_.uids());
 }
 
 void DisabledBackendsSync::poll_file() {
--- a/src/admin/disabled_backends_sync.hpp
+++ b/src/admin/disabled_backends_sync.hpp
@@ -1,4 +1,4 @@
-// Keeps the proxy, the file and the operators' calls at one set of disabled backends.
+// Synchronizes the set of disabled backends between operators' requests, the file and the proxy.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,23 @@
 
 namespace cherryrail::admin {
 
-// While a relay is replaced there are two processes, and a call to one has to hold for both: so the file is
-// looked at time and again.
+// During a hot restart two processes run, and an operator's request to one has to apply to both. So the file
+// is polled for changes.
 class DisabledBackendsSync {
  public:
   enum class ChangeResult : std::uint8_t { applied, unknown_backend };
 
-  // Reads the file at `path`; with an empty path nothing is kept beyond this process.
+  // Reads the file at `path`; with an empty path, the set is not stored.
   DisabledBackendsSync(net::EventLoop& event_loop, proxy::ProxyServer& proxy, std::string path);
 
-  // Tells the proxy what the file holds, from now on after each change of it, too.
+  // Applies the set to the proxy, now and after each change of the file.
   void start();
-  // An operator's call. If the file cannot be written, the change holds for this process alone and the log
-  // says so.
+  // Handles an operator's request. If the file cannot be written, the change applies to this process only,
+  // which is logged.
   ChangeResult set_disabled(const std::string& uid, bool is_disabled);
-  // What the predecessor was told and could not store.
+  // Applies the changes that the predecessor could not store.
   void take_over(const DisabledBackends::Changes& changes);
-  // What this process was told and could not store yet.
+  // The changes that this process could not store yet.
   const DisabledBackends::Changes& pending_changes() const { return disabled_backends_.pending_changes(); }
 
  private:
--- a/src/admin/handover_channel.cpp
+++ b/src/admin/handover_channel.cpp
@@ -20,15 +20,15 @@
 namespace cherryrail::admin {
 namespace {
 
-// The longest kind is the state, some 90 bytes a backend. This process sends it in parts, earlier builds as a
-// whole: this holds more than 5000 backends.
-constexpr std::size_t kLongestMessage = 524'288;
-constexpr std::size_t kMostDescriptors = 2;  // the client's and the backend's
-constexpr std::size_t kSizeOfAll = kMostDescriptors * sizeof(int);
+// The longest message is a state snapshot, with some 90 bytes per backend. This build sends it in parts,
+// earlier builds in one message: this size is enough for more than 5000 backends.
+constexpr std::size_t kMaxMessageBytes = 524'288;
+constexpr std::size_t kMaxDescriptors = 2;  // downstream and upstream
+constexpr std::size_t kMaxDescriptorBytes = kMaxDescriptors * sizeof(int);
 
-// Room for the descriptors that go along with one message.
+// Buffer for the descriptors of one message.
 struct ControlBuffer {
-  alignas(cmsghdr) std::array<char, CMSG_SPACE(kSizeOfAll)> bytes;
+  alignas(cmsghdr) std::array<char, CMSG_SPACE(kMaxDescriptorBytes)> bytes;
 };
 
 msghdr message_header(iovec& content, ControlBuffer& control, std::size_t control_size) {
@@ -48,29 +48,29 @@
 void attach_descriptors(msghdr& header, const proxy::OutgoingHandover& handover, std::size_t size) {
   cmsghdr* control = CMSG_FIRSTHDR(&header);
   if (!control) return;
-  const std::array<int, kMostDescriptors> descriptors{handover.downstream, handover.upstream};
+  const std::array<int, kMaxDescriptors> descriptors{handover.downstream, handover.upstream};
   control->cmsg_level = SOL_SOCKET;
   control->cmsg_type = SCM_RIGHTS;
   control->cmsg_len = CMSG_LEN(size);
   std::memcpy(CMSG_DATA(control), descriptors.data(), size);
 }
 
-std::array<net::FileDescriptor, kMostDescriptors> take_descriptors(msghdr& header) {
-  std::array<int, kMostDescriptors> descriptors{-1, -1};
+std::array<net::FileDescriptor, kMaxDescriptors> extract_descriptors(msghdr& header) {
+  std::array<int, kMaxDescriptors> descriptors{-1, -1};
   for (cmsghdr* control = CMSG_FIRSTHDR(&header); control; control = CMSG_NXTHDR(&header, control)) {
     if (control->cmsg_level != SOL_SOCKET || control->cmsg_type != SCM_RIGHTS) continue;
     const std::size_t size = control->cmsg_len - CMSG_LEN(0);
-    std::memcpy(descriptors.data(), CMSG_DATA(control), std::min(kSizeOfAll, size));
+    std::memcpy(descriptors.data(), CMSG_DATA(control), std::min(kMaxDescriptorBytes, size));
   }
   return {net::FileDescriptor(descriptors[0]), net::FileDescriptor(descriptors[1])};
 }
 
-// An error of receiving after which the next call may bring a message.
-bool is_passing(int error) {
+// Whether the next call may succeed after this error of recvmsg().
+bool is_transient(int error) {
   return error == EAGAIN || error == EINTR || error == ENOBUFS || error == ENOMEM;
 }
 
-bool descriptors_fit(const proxy::IncomingHandover& handover) {
+bool descriptors_match_message(const proxy::IncomingHandover& handover) {
   if (std::holds_alternative<StateSnapshot>(handover.message)) return true;
   if (std::holds_alternative<proxy::DisabledBackendChanges>(handover.message)) return true;
   const bool needs_upstream = std::holds_alternative<proxy::OpenSession>(handover.message);
@@ -95,18 +95,18 @@
 }
 
 ReceiveResult HandoverChannel::receive() const {
-  const auto bytes = std::make_unique_for_overwrite<std::array<std::uint8_t, kLongestMessage>>();
+  const auto bytes = std::make_unique_for_overwrite<std::array<std::uint8_t, kMaxMessageBytes>>();
   ControlBuffer control{};
   iovec content{bytes->data(), bytes->size()};
   msghdr header = message_header(content, control, control.bytes.size());
   const ssize_t size = recvmsg(socket_.get(), &header, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
-  if (size < 0) return {{}, !is_passing(errno)};
+  if (size < 0) return {{}, !is_transient(errno)};
   if (size == 0) return {{}, true};
-  auto [downstream, upstream] = take_descriptors(header);
+  auto [downstream, upstream] = extract_descriptors(header);
   auto message = decode_handover(std::span(bytes->data(), static_cast<std::size_t>(size)));
   if (!message) return {};
   proxy::IncomingHandover handover{std::move(*message), std::move(downstream), std::move(upstream)};
-  if (!descriptors_fit(handover)) return {};
+  if (!descriptors_match_message(handover)) return {};
   return {std::move(handover), false};
 }
 
--- a/src/admin/handover_codec.cpp
+++ b/src/admin/handover_codec.cpp
@@ -12,15 +12,15 @@
 
 using nlohmann::json;
 
-// The keys of the message, in the words of the build that first wrote it.
+// The keys of a message. Earlier builds use the same keys, so they must not change.
 constexpr const char* kReceivedKey = "begun";
 constexpr const char* kOpenRequestKey = "head";
 constexpr const char* kBackendKey = "backend";
 constexpr const char* kWaitedKey = "waited";
 constexpr const char* kStateKey = "memory";
-constexpr const char* kDisabledBackendsKey = "disabled_backends";  // earlier builds pass over such a message
+constexpr const char* kDisabledBackendsKey = "disabled_backends";  // earlier builds ignore such a message
 
-// And those of the state.
+// The keys of the state snapshot.
 constexpr const char* kStartedAtKey = "born";
 constexpr const char* kAdmissionSlotsFromKey = "turns_from";
 constexpr const char* kOverloadedUntilKey = "strained_until";
@@ -30,10 +30,10 @@
 constexpr const char* kBackendsKey = "backends";
 constexpr const char* kClockOriginKey = "clock_origin";  // earlier builds neither send nor read it
 
-// No client waits longer for a line; a larger figure comes from a process whose clock is wrong.
-constexpr Micros kLongestWait = 60'000'000;
+// No client waits longer for a line; a larger value comes from a process whose clock is wrong.
+constexpr Micros kMaxWait = 60'000'000;
 
-// A client may write any bytes, and text in CBOR has to be UTF-8.
+// Clients may send arbitrary bytes, but text in CBOR has to be UTF-8.
 json binary(const std::string& text) {
   return json::binary(std::vector<std::uint8_t>(text.begin(), text.end()));
 }
@@ -44,10 +44,11 @@
 }
 
 Micros waited_at(const json& map) {
-  return std::clamp<Micros>(map.at(kWaitedKey).get<Micros>(), 0, kLongestWait);
+  return std::clamp<Micros>(map.at(kWaitedKey).get<Micros>(), 0, kMaxWait);
 }
 
-// A backend is a list: its fields have no keys, so their order counts. The reader below has the same one.
+// A backend is encoded as an array without keys, so the order of its fields matters; decode_backend() uses
+// the same order.
 json encode_backend(const BackendSnapshot& backend) {
   return json::array({backend.name, backend.started_at, backend.reported_started_at,
                       backend.capacity_reduced_at, backend.failure_log_odds, backend.capacity_limit,
@@ -98,13 +99,14 @@
   map.at(kOverloadedUntilKey).get_to(state.general_overload_until);
   map.at(kNewSessionsKey).get_to(state.new_sessions);
   map.at(kHealthCheckTokensKey).get_to(state.health_check_tokens);
-  state.recent_retries = map.value(kRecentRetriesKey, 0.0);  // earlier builds do not send it
+  state.recent_retries = map.value(kRecentRetriesKey, 0.0);  // earlier builds do not send this key
   state.clock_origin = map.value(kClockOriginKey, Micros{0});
   for (const json& backend : map.at(kBackendsKey)) state.backends.push_back(decode_backend(backend));
   return state;
 }
 
-// Every message has the first four keys, empty where they say nothing: earlier builds read them all.
+// Every message has these four keys, with empty values where they do not apply: earlier builds require them
+// all.
 json message_map(const std::string& received, const std::string& open_request, const std::string& backend,
                  Micros waited) {
   return {{kReceivedKey, binary(received)},
--- a/src/admin/handover_codec.hpp
+++ b/src/admin/handover_codec.hpp
@@ -1,5 +1,6 @@
-// The form of handover messages between two processes. Both may be of different builds: keys, types and order
-// stay as they are. tests/admin/handover_compatibility_test.cpp holds recorded bytes of an earlier build.
+// The encoding of handover messages between two processes, which may run different builds: keys, types and
+// order must not change. tests/admin/handover_compatibility_test.cpp has recorded messages of an earlier
+// build.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +12,10 @@
 
 namespace cherryrail::admin {
 
-// A CBOR map; the sockets that go along are not part of it.
+// Encodes a message as a CBOR map, without the descriptors that are sent with it.
 std::vector<std::uint8_t> encode_handover(const proxy::HandoverMessage& message);
 
-// None if the bytes are not a message of this form. Times that a client cannot have waited are cut.
+// Returns none if the bytes are not a valid message. Implausible waiting times of clients are clamped.
 std::optional<proxy::HandoverMessage> decode_handover(std::span<const std::uint8_t> bytes);
 
 }  // namespace cherryrail::admin
--- a/src/admin/hot_restart_coordinator.cpp
+++ b/src/admin/hot_restart_coordinator.cpp
@@ -15,17 +15,18 @@
 namespace cherryrail::admin {
 namespace {
 
-// What cannot be handed over or received now may be so once a line is complete or a descriptor is free; short
-// beside the time that clients wait for an answer.
+// A handover may become possible once a line is complete or a descriptor is free. Short compared to clients'
+// timeouts.
 constexpr Micros kRetryInterval = 20'000;
-// So that a predecessor with thousands of sessions does not keep the loop from clients.
-constexpr int kMessagesAtOnce = 64;
-// Some 90 KB: earlier builds have room for 128, and the socket for more.
+// Limited so that a predecessor with thousands of sessions does not block the event loop for clients.
+constexpr int kMaxMessagesPerEvent = 64;
+// Some 90 KB: earlier builds can receive 128 KB, and the socket's limit is higher.
 constexpr std::size_t kBackendsPerMessage = 1000;
-// How late this process may know of descriptors that the other has opened.
+// The delay until this process notices descriptors that its peer has opened.
 constexpr Micros kPeerCountInterval = 100'000;
 
-std::string folder_of(const config::RelayConfig& relay_config) {
+// Empty without an inherited listening socket, which disables hot restart.
+std::string socket_folder(const config::RelayConfig& relay_config) {
   return relay_config.inherited_listener ? relay_config.state_directory : std::string();
 }
 
@@ -37,7 +38,7 @@
   return static_cast<std::size_t>(std::distance(begin(descriptors), end(descriptors)));
 }
 
-// A connection with the process before this one, or the one after; it ends with that process.
+// A connection to a predecessor or successor, kept until that process ends.
 struct HotRestartCoordinator::Peer {
   HandoverChannel channel;
   int process = 0;  // 0 if it is this process
@@ -48,9 +49,9 @@
                                              DisabledBackendsSync& disabled_backends,
                                              const config::RelayConfig& relay_config)
     : event_loop_(event_loop), proxy_(proxy), disabled_backends_(disabled_backends),
-      socket_(folder_of(relay_config), state_file_name(relay_config.name, kServingProcessSuffix)) {
+      socket_(socket_folder(relay_config), state_file_name(relay_config.name, kServingProcessSuffix)) {
   if (!relay_config.inherited_listener) return;
-  // Connected from the start, so that each process counts the other's descriptors.
+  // Connected from the start, so that both processes can count each other's descriptors.
   if (auto predecessor = socket_.connect_to_successor()) add_peer(std::move(*predecessor));
   proxy_.on_ready([this] { announce(); });
 }
@@ -76,24 +77,24 @@
   const int process = channel.peer_process().value_or(0);
   const auto peer = std::make_shared<Peer>(Peer{std::move(channel), process, nullptr});
   peers_.push_back(peer);
-  // An event for a peer that was removed a moment before must not touch it.
+  // A pending event may be delivered after its peer has been removed.
   const auto on_readable = [this, weak_peer = std::weak_ptr(peer)](bool, bool) {
-    if (const auto here = weak_peer.lock()) receive_from(*here);
+    if (const auto locked_peer = weak_peer.lock()) receive_from(*locked_peer);
   };
   peer->watch = std::make_unique<net::IoWatch>(event_loop_, peer->channel.descriptor(), on_readable);
   peer->watch->set_interest(true, false);
-  if (!std::exchange(is_watching_peers_, true)) watch_peer_descriptors();
+  if (!std::exchange(is_polling_peers_, true)) poll_peer_descriptors();
 }
 
 void HotRestartCoordinator::receive_from(Peer& peer) {
   count_peer_descriptors();
-  for (int count = 0; count < kMessagesAtOnce; ++count) {
-    // A message that is read while no descriptors are left to hold what it brings would lose a session.
+  for (int count = 0; count < kMaxMessagesPerEvent; ++count) {
+    // If a message were read while no descriptors are left for its connections, its session would be lost.
     if (!proxy_.can_receive_handover()) return pause_receiving(peer);
     ReceiveResult result = peer.channel.receive();
     if (result.is_peer_gone) return remove_peer(peer);
     if (!result.handover) return;
-    take_in(std::move(*result.handover));
+    handle_handover(std::move(*result.handover));
   }
 }
 
@@ -107,7 +108,7 @@
   for (const auto& peer : peers_) peer->watch->set_interest(true, false);
 }
 
-void HotRestartCoordinator::take_in(proxy::IncomingHandover handover) {
+void HotRestartCoordinator::handle_handover(proxy::IncomingHandover handover) {
   if (const auto* changes = std::get_if<proxy::DisabledBackendChanges>(&handover.message)) {
     disabled_backends_.take_over(changes->is_disabled);
     return;
@@ -133,11 +134,11 @@
   proxy_.set_descriptors_held_by_peers(descriptors);
 }
 
-void HotRestartCoordinator::watch_peer_descriptors() {
+void HotRestartCoordinator::poll_peer_descriptors() {
   count_peer_descriptors();
-  is_watching_peers_ = !peers_.empty();
-  if (!is_watching_peers_) return;
-  event_loop_.call_at(event_loop_.now() + kPeerCountInterval, [this] { watch_peer_descriptors(); });
+  is_polling_peers_ = !peers_.empty();
+  if (!is_polling_peers_) return;
+  event_loop_.call_at(event_loop_.now() + kPeerCountInterval, [this] { poll_peer_descriptors(); });
 }
 
 void HotRestartCoordinator::shut_down() {
@@ -148,7 +149,7 @@
   hand_over_until(event_loop_.now() + proxy_.longest_client_timeout());
 }
 
-// Disabled backends first: the successor may be serving already.
+// Disabled backends are sent first, because the successor may be serving already.
 void HotRestartCoordinator::collect_state() {
   if (!disabled_backends_.pending_changes().empty())
     state_.emplace_back(proxy::DisabledBackendChanges{disabled_backends_.pending_changes()});
@@ -156,8 +157,8 @@
     state_.emplace_back(std::move(part));
 }
 
-// `sent` once the successor has all of it. What is too large for the socket is left out: sessions must not
-// wait for it.
+// Returns `sent` once the successor has received the whole state. A part that is too large for the socket is
+// skipped, because it must not block the handover of sessions.
 SendResult HotRestartCoordinator::hand_over_state() {
   while (sent_state_count_ < state_.size()) {
     const SendResult result = successor_->send({state_[sent_state_count_]});
@@ -170,8 +171,8 @@
   return SendResult::sent;
 }
 
-// Sessions that cannot be handed over are migrated, as without a successor: those whose line stays incomplete
-// until `deadline`, and all that are left when the successor dies.
+// Migrates the sessions that cannot be handed over, as without a successor: those whose line is incomplete
+// until `deadline`, and all remaining ones if the successor dies.
 void HotRestartCoordinator::hand_over_until(Micros deadline) {
   const SendResult state_result = hand_over_state();
   bool is_successor_gone = state_result == SendResult::peer_gone;
@@ -182,7 +183,7 @@
   };
   const bool is_everything_handed_over = state_result == SendResult::sent && proxy_.hand_over(send);
   if (is_everything_handed_over) return proxy_.stop_when_empty();
-  // With two restarts soon after each other, a successor that is gone may have a successor of its own.
+  // With two restarts in quick succession, a successor that is gone may have a successor of its own.
   if (is_successor_gone) {
     successor_ = socket_.connect_to_successor();
     sent_state_count_ = 0;
--- a/src/admin/hot_restart_coordinator.hpp
+++ b/src/admin/hot_restart_coordinator.hpp
@@ -1,4 +1,4 @@
-// The hot restart of a relay: a process takes over from the one before it and hands over to the one after.
+// Hot restart of a relay: a process takes over from its predecessor, and later hands over to its successor.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,12 @@
 
 namespace cherryrail::admin {
 
-// Announces this process once its proxy is ready, takes in what a predecessor hands over, and at the end
-// hands the proxy's sessions to a successor. While two processes run, each counts the other's descriptors,
-// since the limit on them is one for both.
+// Announces this process once its proxy is ready, receives the handover of a predecessor, and at the end
+// hands the proxy's sessions over to a successor. While two processes run, each counts the other's
+// descriptors, since both share one descriptor limit.
 class HotRestartCoordinator {
  public:
-  // Hot restart works only where the clients' listening socket is inherited; otherwise shut_down() is all
-  // that does anything.
+  // Hot restart requires an inherited listening socket; without one, only shut_down() has an effect.
   HotRestartCoordinator(net::EventLoop& event_loop, proxy::ProxyServer& proxy,
                         DisabledBackendsSync& disabled_backends, const config::RelayConfig& relay_config);
   ~HotRestartCoordinator();
@@ -31,8 +30,8 @@
   HotRestartCoordinator(HotRestartCoordinator&&) = delete;
   HotRestartCoordinator& operator=(HotRestartCoordinator&&) = delete;
 
-  // Hands over to the successor, or lets the proxy shut down by itself if there is none. Later calls do
-  // nothing.
+  // Hands over to the successor; without a successor, shuts the proxy down gracefully. Later calls have no
+  // effect.
   void shut_down();
 
  private:
@@ -44,10 +43,10 @@
   void receive_from(Peer& peer);
   void pause_receiving(const Peer& peer);
   void resume_receiving();
-  void take_in(proxy::IncomingHandover handover);
+  void handle_handover(proxy::IncomingHandover handover);
   void remove_peer(const Peer& peer);
   void count_peer_descriptors();
-  void watch_peer_descriptors();
+  void poll_peer_descriptors();
   void collect_state();
   SendResult hand_over_state();
   void hand_over_until(Micros deadline);
@@ -56,16 +55,16 @@
   proxy::ProxyServer& proxy_;
   DisabledBackendsSync& disabled_backends_;
   HotRestartSocket socket_;
-  std::optional<HandoverChannel> successor_;   // that sessions are handed over to
-  std::vector<proxy::HandoverMessage> state_;  // goes before the sessions
-  std::size_t sent_state_count_ = 0;           // messages of it that this successor has
+  std::optional<HandoverChannel> successor_;   // receives the sessions
+  std::vector<proxy::HandoverMessage> state_;  // sent before the sessions
+  std::size_t sent_state_count_ = 0;           // messages of state_ sent to this successor
   bool is_shutting_down_ = false;
   std::unique_ptr<net::IoWatch> announcement_watch_;
-  std::list<std::shared_ptr<Peer>> peers_;  // the processes before and after this one
-  bool is_watching_peers_ = false;
+  std::list<std::shared_ptr<Peer>> peers_;  // predecessor and successor processes
+  bool is_polling_peers_ = false;
 };
 
-// How many descriptors a process has open; 0 if that cannot be told.
+// The number of descriptors that a process has open; 0 if it cannot be determined.
 std::size_t count_open_descriptors(int process);
 
 }  // namespace cherryrail::admin
--- a/src/admin/hot_restart_socket.cpp
+++ b/src/admin/hot_restart_socket.cpp
@@ -12,8 +12,9 @@
 namespace cherryrail::admin {
 namespace {
 
-// At most two processes of one relay run at once; the rest is room for a restart soon after another.
-constexpr int kWaitingConnections = 4;
+// Usually at most two processes of a relay run at once; a larger backlog allows for restarts in quick
+// succession.
+constexpr int kListenBacklog = 4;
 
 net::FileDescriptor open_folder(const std::string& folder) {
   if (folder.empty()) return {};
@@ -24,8 +25,8 @@
   return net::FileDescriptor(socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
 }
 
-// The path of a Unix socket is limited to 108 bytes, that of a folder is not: so the folder goes by
-// descriptor.
+// The path of a Unix socket is limited to 108 bytes, but a folder's path is not. So the folder is addressed
+// by its descriptor.
 sockaddr_un address_in(const net::FileDescriptor& folder, const std::string& name) {
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
@@ -42,7 +43,7 @@
   return connect(socket.get(), reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0;
 }
 
-// 0 if there is no such file.
+// Returns 0 if there is no such file.
 ino_t inode_of(const net::FileDescriptor& folder, const std::string& name) {
   struct stat file {};
   return fstatat(folder.get(), name.c_str(), &file, 0) == 0 ? file.st_ino : 0;
@@ -53,8 +54,8 @@
 HotRestartSocket::HotRestartSocket(const std::string& folder, std::string_view name)
     : folder_(open_folder(folder)), name_(name) {}
 
-// The socket is bound under a name of this process, then renamed over the former process's: at no moment does
-// the name lead nowhere.
+// Binds the socket under a name of this process, then renames it over the predecessor's file, so that the
+// shared name always leads to a socket.
 bool HotRestartSocket::announce() {
   if (!folder_) return false;
   net::FileDescriptor socket = open_socket();
@@ -62,7 +63,7 @@
   const sockaddr_un address = address_in(folder_, own_name);
   unlinkat(folder_.get(), own_name.c_str(), 0);
   if (!socket || !bind_to(socket, address)) return false;
-  if (listen(socket.get(), kWaitingConnections) != 0) return false;
+  if (listen(socket.get(), kListenBacklog) != 0) return false;
   if (renameat(folder_.get(), own_name.c_str(), folder_.get(), name_.c_str()) != 0) return false;
   listening_ = std::move(socket);
   own_inode_ = inode_of(folder_, name_);
@@ -80,7 +81,7 @@
   net::FileDescriptor socket(accept4(listening_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket) return std::nullopt;
   HandoverChannel channel(std::move(socket));
-  // Whoever can write to the folder could otherwise hand in connections of his own.
+  // Otherwise any user who can write to the folder could hand over connections.
   if (!channel.peer_process()) return std::nullopt;
   return channel;
 }
--- a/src/admin/hot_restart_socket.hpp
+++ b/src/admin/hot_restart_socket.hpp
@@ -1,4 +1,4 @@
-// How the processes of one relay find each other at a hot restart.
+// The Unix socket by which the processes of one relay find each other for a hot restart.
 #pragma once
 
 #include <sys/types.h>
@@ -12,21 +12,21 @@
 
 namespace cherryrail::admin {
 
-// A name in a folder that the relay's processes share, bound to a Unix socket of the process that announced
-// itself last: the one that serves. Nothing has to be removed at the end, since nobody answers at the name of
-// a process that has died.
+// A Unix socket file in a folder that the relay's processes share. It belongs to the process that announced
+// itself last, which is the serving process. The file need not be removed at the end: connecting to the
+// socket of a process that has died fails.
 class HotRestartSocket {
  public:
   // With an empty `folder` there is no hot restart: announce() fails and no successor is found.
   HotRestartSocket(const std::string& folder, std::string_view name);
 
-  // From now on this process is the one that serves. False if that cannot be told to the others.
+  // Makes this process the serving process. Returns false if the socket cannot be created.
   [[nodiscard]] bool announce();
-  // None if this process serves, or if no process does.
+  // Returns none if this is the serving process, or if there is none.
   [[nodiscard]] std::optional<HandoverChannel> connect_to_successor() const;
-  // The next connection to this process; none if nobody waits or the other is another user's process.
+  // Returns the next connection to this process; none if none is waiting or the peer runs as another user.
   [[nodiscard]] std::optional<HandoverChannel> accept() const;
-  // To be watched for connections; below 0 before announce().
+  // The listening socket, for I/O watches; negative before announce().
   [[nodiscard]] int descriptor() const { return listening_.get(); }
 
  private:
--- a/src/admin/route_table.hpp
+++ b/src/admin/route_table.hpp
@@ -1,4 +1,4 @@
-// Which HTTP request is answered by what.
+// Dispatches HTTP requests to handlers by path and method.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,7 @@
   std::string body;  // JSON
 };
 
-// {"error":MESSAGE} with that status.
+// A response with the body {"error":MESSAGE}.
 AdminResponse error_response(protocol::HttpStatus status, const std::string& message);
 
 struct Route {
@@ -28,8 +28,8 @@
  public:
   explicit RouteTable(std::vector<Route> routes);
 
-  // The answer of the route's handler, 500 if that throws; 404 for an unknown path, 405 for a known one with
-  // another method. `request` has to be complete.
+  // Returns the response of the route's handler, or status 500 if the handler throws; 404 for an unknown
+  // path, 405 for a known path with another method. `request` must be complete.
   [[nodiscard]] AdminResponse dispatch(const protocol::HttpRequest& request) const;
 
  private:
--- a/src/admin/state_files.hpp
+++ b/src/admin/state_files.hpp
@@ -1,5 +1,5 @@
-// The names of the files that a relay keeps in the folder that its processes share. Processes of different
-// builds use them, so they stay as they are.
+// The names of a relay's files in the state directory, which its processes share. Processes of different
+// builds use these files, so the names must not change.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 inline constexpr std::string_view kDisabledBackendsSuffix = "bans";
 inline constexpr std::string_view kServingProcessSuffix = "serves";
 
-// "cherryrail-NAME.SUFFIX": this relay's own among those of other relays in the same folder. Whatever is not
-// a letter, digit or hyphen in the relay's name becomes "_".
+// Returns "cherryrail-NAME.SUFFIX", which differs between relays that share the directory. Characters of the
+// relay's name other than letters, digits and hyphens are replaced by "_".
 std::string state_file_name(const std::string& relay_name, std::string_view suffix);
 
 }  // namespace cherryrail::admin
--- a/tests/admin/admin_server_test.cpp
+++ b/tests/admin/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The operators' HTTP endpoint.
+// The admin HTTP server.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -40,20 +40,20 @@
   return kRequests;
 }
 
-TEST(AdminServer, AnswersEachFaultyRequestWithItsStatusAndDisablesNothing) {
+TEST(AdminServer, AnswersEachRequestWithItsStatusAndInvalidOnesDisableNothing) {
   AdminRelay relay(1);
 
   for (const auto& [request, status] : requests_and_statuses())
     EXPECT_EQ(relay.status_of(relay.connect_operator(request)), status) << request.substr(0, 80);
-  TestSocket half_request = relay.connect_operator("POST /backends/disable HTTP/1.1\r\nContent-Le");
-  half_request.finish_sending();
-  EXPECT_EQ(relay.status_of(std::move(half_request)), "HTTP/1.1 400");
+  TestSocket incomplete_request = relay.connect_operator("POST /backends/disable HTTP/1.1\r\nContent-Le");
+  incomplete_request.finish_sending();
+  EXPECT_EQ(relay.status_of(std::move(incomplete_request)), "HTTP/1.1 400");
 
   relay.establish_session("1");
 }
 
-// Connections without a whole request must keep neither the next one out, nor clients.
-TEST(AdminServer, IdleConnectionsGiveWayToARequest) {
+// Connections with incomplete requests must block neither further requests nor clients.
+TEST(AdminServer, EvictsTheLongestIdleConnectionForANewRequest) {
   AdminRelay relay(1);
   std::vector<TestSocket> idle;
   for (int i = 0; i < 40; ++i) idle.push_back(relay.connect_operator(i % 2 != 0 ? "GET /rea" : ""));
@@ -65,7 +65,7 @@
   relay.establish_session("1");
 }
 
-TEST(AdminServer, AnAddressInUseIsAnErrorThatNamesTheKey) {
+TEST(AdminServer, ReportsTheSettingIfTheAddressIsInUse) {
   LoopbackRelay relay(1);
   const TestSocket other_listener = TestSocket::listening();
   relay.relay_config.admin = "127.0.0.1:" + std::to_string(other_listener.port());
@@ -73,13 +73,13 @@
 
   try {
     const admin::AdminServices services(relay.event_loop, *relay.proxy, relay.relay_config);
-    FAIL() << "it started";
+    FAIL() << "the admin server listens at an address in use";
   } catch (const config::ConfigError& error) {
     EXPECT_TRUE(std::string(error.what()).starts_with("mgmt: ")) << error.what();
   }
 }
 
-TEST(AdminServer, TheStatisticsCountHowConnectionsEndedAndWhatWasBroken) {
+TEST(AdminServer, StatisticsCountResultsAndInvariantViolations) {
   AdminRelay relay(1);
   EstablishedSession session = relay.establish_session("1");
   session.client.close();
--- a/tests/admin/disabled_backends_test.cpp
+++ b/tests/admin/disabled_backends_test.cpp
@@ -1,4 +1,4 @@
-// Backends that an operator has disabled: what they get, and where that is stored.
+// Backends that an operator has disabled: their traffic, and how the set is stored.
 #include "admin/disabled_backends.hpp"
 
 #include <gtest/gtest.h>
@@ -16,8 +16,8 @@
 namespace cherryrail::testing {
 namespace {
 
-// The endpoint list does not know of it: it goes on reporting the backend as ready.
-TEST(DisabledBackends, ADisabledBackendIsEmptiedAndGetsNothingUntilItIsEnabled) {
+// The endpoint list does not show that a backend is disabled: it continues to report the backend as ready.
+TEST(DisabledBackends, DisabledBackendLosesItsSessionsAndGetsNoneUntilItIsEnabled) {
   AdminRelay relay(2);
   auto session = relay.establish_session("1");
   const std::size_t disabled = relay.backend_index(session.upstream);
@@ -33,7 +33,8 @@
     EXPECT_EQ(relay.backend_index(other.upstream), 1 - disabled);
   }
 
-  EXPECT_EQ(relay.change_backend("enable", backend_uid(disabled)), "HTTP/1.1 200");  // once undoes both
+  EXPECT_EQ(relay.change_backend("enable", backend_uid(disabled)),
+            "HTTP/1.1 200");  // one request reverts both
   int session_id = 100;
   EXPECT_TRUE(relay.run_until(
       [&] {
@@ -43,7 +44,7 @@
       5000));
 }
 
-TEST(DisabledBackends, TheProcessThatComesNextKeepsThemDisabled) {
+TEST(DisabledBackends, StayDisabledInTheNextProcess) {
   AdminRelay relay(2);
   EXPECT_EQ(relay.change_backend("disable", "s-1"), "HTTP/1.1 200");
 
@@ -56,25 +57,25 @@
     EXPECT_EQ(relay.backend_index(relay.establish_session(std::to_string(i)).upstream), 0u);
 }
 
-TEST(DisabledBackends, ADamagedFileIsToldAndMendedByTheNextChange) {
+TEST(DisabledBackends, DamagedFileIsReportedAndReplacedByTheNextChange) {
   AdminRelay relay(2);
   EXPECT_EQ(relay.change_backend("disable", "s-1"), "HTTP/1.1 200");
   const std::string file = relay.folder.file("cherryrail-n.bans");
   ASSERT_TRUE(std::filesystem::exists(file));
   admin::DisabledBackends other_process(file);
-  EXPECT_TRUE(other_process.names().contains("s-1"));
+  EXPECT_TRUE(other_process.uids().contains("s-1"));
 
   std::ofstream(file) << "{\"bans\":[7";
   EXPECT_FALSE(other_process.reload_if_changed());
   EXPECT_NE(other_process.error().value().message().find("damaged"), std::string::npos);
-  EXPECT_TRUE(other_process.names().contains("s-1"));  // what is known stays in force
+  EXPECT_TRUE(other_process.uids().contains("s-1"));  // the known set stays in force
 
   EXPECT_TRUE(other_process.set_disabled("s-0", true));
-  EXPECT_EQ(admin::DisabledBackends(file).names(), (std::set<std::string>{"s-0", "s-1"}));
+  EXPECT_EQ(admin::DisabledBackends(file).uids(), (std::set<std::string>{"s-0", "s-1"}));
 }
 
-// An operator may have called either process: neither loses what the other was told.
-TEST(DisabledBackends, TwoProcessesKeepOneSet) {
+// Operators may send requests to either process; neither may lose a change made by the other.
+TEST(DisabledBackends, TwoProcessesShareOneSet) {
   const TemporaryFolder folder;
   admin::DisabledBackends first(folder.file("b"));
   admin::DisabledBackends second(folder.file("b"));
@@ -82,24 +83,24 @@
   EXPECT_TRUE(first.set_disabled("x", true));
   EXPECT_TRUE(second.set_disabled("y", true));
   EXPECT_TRUE(first.reload_if_changed());
-  EXPECT_EQ(first.names(), (std::set<std::string>{"x", "y"}));
+  EXPECT_EQ(first.uids(), (std::set<std::string>{"x", "y"}));
 
   EXPECT_TRUE(first.set_disabled("x", false));
   EXPECT_TRUE(second.reload_if_changed());
-  EXPECT_EQ(second.names(), std::set<std::string>{"y"});
-  EXPECT_FALSE(second.reload_if_changed());  // nothing new
+  EXPECT_EQ(second.uids(), std::set<std::string>{"y"});
+  EXPECT_FALSE(second.reload_if_changed());  // unchanged
 }
 
-TEST(DisabledBackends, AChangeThatCannotBeStoredStillHoldsInThisProcess) {
+TEST(DisabledBackends, ChangeThatCannotBeStoredAppliesInThisProcess) {
   admin::DisabledBackends disabled("/nonexistent/b");
 
   EXPECT_FALSE(disabled.set_disabled("x", true));
 
-  EXPECT_TRUE(disabled.names().contains("x"));
+  EXPECT_TRUE(disabled.uids().contains("x"));
 }
 
-// The operator was told yes; the next process has only the file to know of it.
-TEST(DisabledBackends, AChangeThatTheDiskRefusesIsStoredOnceItTakesIt) {
+// The operator's request has succeeded, so the change must reach the next process, which has only the file.
+TEST(DisabledBackends, RetriesToStoreAChangeAfterAWriteError) {
   for (const int error : {ENOSPC, EIO}) {
     const FaultPlanScope scope;
     AdminRelay relay(2);
@@ -111,11 +112,11 @@
     relay.run_for(400);
 
     const admin::DisabledBackends next_process(relay.folder.file("cherryrail-n.bans"));
-    EXPECT_TRUE(next_process.names().contains("s-1")) << error;
+    EXPECT_TRUE(next_process.uids().contains("s-1")) << error;
   }
 }
 
-TEST(DisabledBackends, AChangeThatTheDiskRefusedOutlivesThatOfAnotherProcess) {
+TEST(DisabledBackends, PendingChangeSurvivesAChangeByAnotherProcess) {
   const FaultPlanScope scope;
   const TemporaryFolder folder;
   admin::DisabledBackends first(folder.file("b"));
@@ -128,13 +129,13 @@
   EXPECT_TRUE(second.set_disabled("y", true));
   first.reload_if_changed();
 
-  EXPECT_EQ(first.names(), (std::set<std::string>{"x", "y"}));
+  EXPECT_EQ(first.uids(), (std::set<std::string>{"x", "y"}));
 }
 
-// A process that starts while the system has no descriptor for it would enable every backend again.
-TEST(DisabledBackends, AFileThatCannotBeReadAtTheStartIsReadOnceItCan) {
+// Otherwise, a process that starts while no descriptor is available would enable every backend again.
+TEST(DisabledBackends, ReadsAFileThatCouldNotBeReadAtTheStart) {
 #ifdef __SANITIZE_ADDRESS__
-  GTEST_SKIP() << "the sanitizers' own checks need descriptors and end the process without them";
+  GTEST_SKIP() << "the sanitizers need descriptors for their own checks and end the process without them";
 #endif
   const TemporaryFolder folder;
   EXPECT_TRUE(admin::DisabledBackends(folder.file("b")).set_disabled("x", true));
@@ -146,7 +147,7 @@
   }
   EXPECT_TRUE(next_process->reload_if_changed());
 
-  EXPECT_EQ(next_process->names(), std::set<std::string>{"x"});
+  EXPECT_EQ(next_process->uids(), std::set<std::string>{"x"});
 }
 
 }  // namespace
--- a/tests/admin/handover_compatibility_test.cpp
+++ b/tests/admin/handover_compatibility_test.cpp
@@ -1,6 +1,5 @@
-// A hot restart joins two builds, so the form of what passes between them and of what is stored has to stay.
-// The bytes below were recorded from the build of commit 76f3472: its writer sent them, its file was on the
-// disk.
+// A hot restart may involve two builds, so the encoding of handover messages and of stored files must not
+// change. The bytes below were recorded from the build of commit 76f3472, from its messages and its file.
 #include <fmt/format.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -25,7 +24,7 @@
 namespace cherryrail::testing {
 namespace {
 
-// A message as it stands on the socket between the two processes.
+// A handover message as it is sent over the socket between the two processes.
 struct WireMessage {
   std::string_view hex;
   std::size_t descriptors = 0;
@@ -37,19 +36,19 @@
 
 std::string describe(const WireMessage& message) { return describe(message.hex, message.descriptors); }
 
-constexpr WireMessage kClientThatAskedNothing{
+constexpr WireMessage kClientWithoutRequest{
     "a4676261636b656e644065626567756e40646865616440667761697465641a0012d687", 1};
-constexpr WireMessage kClientWithHalfALine{
+constexpr WireMessage kClientWithIncompleteLine{
     "a4676261636b656e644065626567756e4e4f50454e2035203520633d7461ff646865616440667761697465641a0003d090", 1};
 constexpr WireMessage kOpenSession{
     "a4676261636b656e6443732d3165626567756e406468656164564f50454e2039203920633d74616c6b2c643d313230306677"
     "616974656400",
     2};
-constexpr WireMessage kOpenSessionThatWaits{
+constexpr WireMessage kWaitingOpenSession{
     "a4676261636b656e6443732d3165626567756e406468656164564f50454e2039203920633d74616c6b2c643d313230306677"
     "61697465641a0016e360",
     2};
-constexpr WireMessage kOpenSessionThatWaitsSeventySeconds{
+constexpr WireMessage kOpenSessionWaitingSeventySeconds{
     "a4676261636b656e6443732d3165626567756e406468656164564f50454e2039203920633d74616c6b2c643d313230306677"
     "61697465641a042c1d80",
     2};
@@ -61,7 +60,7 @@
     "6e65775f636c69656e747308657075727365fa402000006e73747261696e65645f756e74696c1b0006284345d87f036a7475"
     "726e735f66726f6d1b000628434244f8026677616974656400",
     0};
-// As builds from before the key "further" wrote it: the same writer, without that key.
+// A message of builds before the key "further" was added: from the same writer, without this key.
 constexpr WireMessage kStateWithoutRetries{
     "a5676261636b656e644065626567756e40646865616440666d656d6f7279a6686261636b656e64738064626f726e056b6e65"
     "775f636c69656e747308657075727365fa402000006e73747261696e65645f756e74696c076a7475726e735f66726f6d0666"
@@ -82,7 +81,7 @@
            {678, 0, 0, 0, 0, 0.3, 1.7, false, false, false, 0, 1}}};
 }
 
-// Each field in the shortest form that tells one value from another.
+// Each field in the shortest form that keeps different values distinct.
 std::string describe(const proxy::DisabledBackendChanges& changes) {
   std::string text = "changes of disabled backends";
   for (const auto& [uid, is_disabled] : changes.is_disabled) text += fmt::format(", {} {}", uid, is_disabled);
@@ -117,7 +116,7 @@
                      static_cast<bool>(handover.upstream), message);
 }
 
-// The two processes' ends of the socket between them.
+// A connected pair of handover channels.
 struct Channel {
   std::array<int, 2> ends = connected_pair();
   admin::HandoverChannel sender{net::FileDescriptor(ends[0])};
@@ -130,14 +129,14 @@
   }
 };
 
-constexpr std::size_t kRoomForDescriptors = CMSG_SPACE(4 * sizeof(int));
+constexpr std::size_t kControlBufferBytes = CMSG_SPACE(4 * sizeof(int));
 
-// What the writer of this build puts on the socket.
-std::string written(const proxy::OutgoingHandover& handover) {
+// Describes the message that this build sends.
+std::string encode_and_describe(const proxy::OutgoingHandover& handover) {
   const Channel channel;
   EXPECT_EQ(channel.sender.send(handover), admin::SendResult::sent);
   std::vector<unsigned char> bytes(65536);
-  alignas(cmsghdr) std::array<char, kRoomForDescriptors> control{};
+  alignas(cmsghdr) std::array<char, kControlBufferBytes> control{};
   iovec part{bytes.data(), bytes.size()};
   msghdr header{};
   header.msg_iov = &part;
@@ -158,12 +157,12 @@
   return describe(hex, descriptors);
 }
 
-void put_on_socket(int sender, const WireMessage& wire) {
+void send_wire_message(int sender, const WireMessage& wire) {
   std::string bytes;
   for (std::size_t at = 0; at < wire.hex.size(); at += 2)
     bytes += static_cast<char>(std::stoi(std::string(wire.hex.substr(at, 2)), nullptr, 16));
   const std::vector<int> descriptors(wire.descriptors, STDIN_FILENO);
-  alignas(cmsghdr) std::array<char, kRoomForDescriptors> control{};
+  alignas(cmsghdr) std::array<char, kControlBufferBytes> control{};
   iovec part{bytes.data(), bytes.size()};
   msghdr header{};
   header.msg_iov = &part;
@@ -181,81 +180,82 @@
   EXPECT_EQ(sendmsg(sender, &header, 0), static_cast<ssize_t>(bytes.size()));
 }
 
-// What the reader of this build makes of it.
-std::string read(const WireMessage& wire) {
+// Describes a message as this build decodes it.
+std::string decode_and_describe(const WireMessage& wire) {
   const Channel channel;
-  put_on_socket(channel.sender.descriptor(), wire);
+  send_wire_message(channel.sender.descriptor(), wire);
   const admin::ReceiveResult result = channel.receiver.receive();
   EXPECT_FALSE(result.is_peer_gone);
-  return result.handover ? describe(*result.handover) : "not understood";
+  return result.handover ? describe(*result.handover) : "malformed";
 }
 
-// Descriptors that are open for as long as a test needs them, to be sent along.
+// Descriptors to be sent with a message, kept open for the duration of a test.
 struct Sockets {
   net::FileDescriptor client{dup(STDIN_FILENO)};
   net::FileDescriptor server{dup(STDIN_FILENO)};
 };
 
-std::string written_pending_client(const std::string& received, Micros waited) {
+std::string encode_pending_client(const std::string& received, Micros waited) {
   const Sockets sockets;
-  return written({proxy::PendingClient{received, waited}, sockets.client.get()});
+  return encode_and_describe({proxy::PendingClient{received, waited}, sockets.client.get()});
 }
 
-std::string written_open_session(Micros waited) {
+std::string encode_open_session(Micros waited) {
   const Sockets sockets;
-  return written({proxy::OpenSession{"OPEN 9 9 c=talk,d=1200", "s-1", waited}, sockets.client.get(),
-                  sockets.server.get()});
+  return encode_and_describe({proxy::OpenSession{"OPEN 9 9 c=talk,d=1200", "s-1", waited},
+                              sockets.client.get(), sockets.server.get()});
 }
 
-std::string written_state(const StateSnapshot& state) { return written({state}); }
+std::string encode_state(const StateSnapshot& state) { return encode_and_describe({state}); }
 
-TEST(HandoverCompatibility, ReadsAClientThatAskedNothingFromTheOldBuild) {
-  EXPECT_EQ(read(kClientThatAskedNothing),
+TEST(HandoverCompatibility, ReadsAClientWithoutRequestFromTheOldBuild) {
+  EXPECT_EQ(decode_and_describe(kClientWithoutRequest),
             "downstream true, upstream false, pending client, waited 1234567: ");
 }
 
-TEST(HandoverCompatibility, ReadsAClientWithHalfALineFromTheOldBuild) {
-  EXPECT_EQ(read(kClientWithHalfALine),
+TEST(HandoverCompatibility, ReadsAClientWithAnIncompleteLineFromTheOldBuild) {
+  EXPECT_EQ(decode_and_describe(kClientWithIncompleteLine),
             "downstream true, upstream false, pending client, waited 250000: OPEN 5 5 c=ta\xff");
 }
 
 TEST(HandoverCompatibility, ReadsAnOpenSessionFromTheOldBuild) {
-  EXPECT_EQ(read(kOpenSession),
+  EXPECT_EQ(decode_and_describe(kOpenSession),
             "downstream true, upstream true, open session at s-1, waited 0: OPEN 9 9 c=talk,d=1200");
-  EXPECT_EQ(read(kOpenSessionThatWaits),
+  EXPECT_EQ(decode_and_describe(kWaitingOpenSession),
             "downstream true, upstream true, open session at s-1, waited 1500000: OPEN 9 9 c=talk,d=1200");
 }
 
-TEST(HandoverCompatibility, CutsAWaitThatCannotBeTrueToOneMinute) {
-  EXPECT_EQ(read(kOpenSessionThatWaitsSeventySeconds),
+TEST(HandoverCompatibility, ClampsAnImplausibleWaitToOneMinute) {
+  EXPECT_EQ(decode_and_describe(kOpenSessionWaitingSeventySeconds),
             "downstream true, upstream true, open session at s-1, waited 60000000: OPEN 9 9 c=talk,d=1200");
 }
 
 TEST(HandoverCompatibility, ReadsTheStateFromTheOldBuild) {
-  EXPECT_EQ(read(kStateOfThreeBackends),
+  EXPECT_EQ(decode_and_describe(kStateOfThreeBackends),
             "downstream false, upstream false, " + describe(state_of_three_backends()));
 }
 
-TEST(HandoverCompatibility, ReadsAStateThatNamesNoRetries) {
+TEST(HandoverCompatibility, ReadsAStateWithoutRetries) {
   const StateSnapshot expected{5, 6, 7, 8, 2.5, 0, {}};
-  EXPECT_EQ(read(kStateWithoutRetries), "downstream false, upstream false, " + describe(expected));
+  EXPECT_EQ(decode_and_describe(kStateWithoutRetries),
+            "downstream false, upstream false, " + describe(expected));
 }
 
 TEST(HandoverCompatibility, WritesAPendingClientAsTheOldBuildDid) {
-  EXPECT_EQ(written_pending_client("", 1'234'567), describe(kClientThatAskedNothing));
-  EXPECT_EQ(written_pending_client("OPEN 5 5 c=ta\xff", 250'000), describe(kClientWithHalfALine));
+  EXPECT_EQ(encode_pending_client("", 1'234'567), describe(kClientWithoutRequest));
+  EXPECT_EQ(encode_pending_client("OPEN 5 5 c=ta\xff", 250'000), describe(kClientWithIncompleteLine));
 }
 
 TEST(HandoverCompatibility, WritesAnOpenSessionAsTheOldBuildDid) {
-  EXPECT_EQ(written_open_session(0), describe(kOpenSession));
-  EXPECT_EQ(written_open_session(1'500'000), describe(kOpenSessionThatWaits));
+  EXPECT_EQ(encode_open_session(0), describe(kOpenSession));
+  EXPECT_EQ(encode_open_session(1'500'000), describe(kWaitingOpenSession));
 }
 
 TEST(HandoverCompatibility, WritesTheStateAsTheOldBuildDid) {
-  EXPECT_EQ(written_state(state_of_three_backends()), describe(kStateOfThreeBackends));
+  EXPECT_EQ(encode_state(state_of_three_backends()), describe(kStateOfThreeBackends));
 }
 
-// A folder of its own, removed at the end.
+// A temporary folder, removed with its contents on destruction.
 class TemporaryFolder {
  public:
   TemporaryFolder() { EXPECT_NE(mkdtemp(path_.data()), nullptr); }
@@ -274,14 +274,14 @@
   const TemporaryFolder folder;
   std::ofstream(folder.file("cherryrail-n.bans")) << kDisabledBackendsFile;
   const admin::DisabledBackends disabled(folder.file("cherryrail-n.bans"));
-  EXPECT_EQ(disabled.names(), (std::set<std::string>{"a\xc3\xa9\"b", "s-0", "s-1"}));
+  EXPECT_EQ(disabled.uids(), (std::set<std::string>{"a\xc3\xa9\"b", "s-0", "s-1"}));
 }
 
 TEST(HandoverCompatibility, StoresDisabledBackendsAsTheOldBuildDid) {
   const TemporaryFolder folder;
   const std::string path = folder.file("cherryrail-n.bans");
   admin::DisabledBackends disabled(path);
-  for (const char* name : {"s-1", "a\xc3\xa9\"b", "s-0"}) EXPECT_TRUE(disabled.set_disabled(name, true));
+  for (const char* uid : {"s-1", "a\xc3\xa9\"b", "s-0"}) EXPECT_TRUE(disabled.set_disabled(uid, true));
   std::ifstream file(path);
   EXPECT_EQ(std::string(std::istreambuf_iterator<char>(file), {}), kDisabledBackendsFile);
   EXPECT_TRUE(std::filesystem::exists(path + ".lock"));
--- a/tests/admin/hot_restart_test.cpp
+++ b/tests/admin/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// How two processes of one relay find each other, and what passes between them.
+// Hot restart: how two processes of one relay find each other, and the messages between them.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/wait.h>
@@ -20,14 +20,14 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(HotRestart, WithoutAFolderThereIsNoSuccessor) {
+TEST(HotRestart, FindsNoSuccessorWithoutAFolder) {
   admin::HotRestartSocket process("", "n");
 
   EXPECT_FALSE(process.announce());
   EXPECT_FALSE(process.connect_to_successor());
 }
 
-TEST(HotRestart, TheLastToAnnounceItselfIsTheSuccessorOfTheOthers) {
+TEST(HotRestart, LastAnnouncedProcessIsTheSuccessor) {
   const TemporaryFolder folder;
   admin::HotRestartSocket first(folder.path(), "n");
   EXPECT_TRUE(first.announce());
@@ -35,35 +35,35 @@
 
   {
     admin::HotRestartSocket second(folder.path(), "n");
-    EXPECT_FALSE(first.connect_to_successor());  // it runs, but does not serve yet
+    EXPECT_FALSE(first.connect_to_successor());  // the second process is not announced yet
     EXPECT_TRUE(second.announce());
     EXPECT_TRUE(first.connect_to_successor());
     EXPECT_FALSE(second.connect_to_successor());
   }
 
-  EXPECT_FALSE(first.connect_to_successor());  // it has ended
+  EXPECT_FALSE(first.connect_to_successor());  // the second process has ended
 }
 
-// The process that comes next, in a process of its own: it tells that it is there, and holds many
-// descriptors until it is told to go.
-[[noreturn]] void hold_descriptors(const std::string& folder, int ready, int go) {
+// Runs a successor in a child process: reports whether it has connected to its predecessor, and holds many
+// descriptors until it is signalled to exit.
+[[noreturn]] void hold_descriptors(const std::string& folder, int ready, int exit_signal) {
   admin::HotRestartSocket next(folder, "cherryrail-n.serves");
   const auto predecessor = next.connect_to_successor();
   while (admin::count_open_descriptors(getpid()) < 480) {
     if (dup(0) < 0) break;
   }
   char byte = predecessor ? 'y' : 'n';
-  const bool is_done = write(ready, &byte, 1) == 1 && read(go, &byte, 1) == 1;
+  const bool is_done = write(ready, &byte, 1) == 1 && read(exit_signal, &byte, 1) == 1;
   _exit(is_done ? 0 : 1);
 }
 
-TEST(HotRestart, DescriptorsOfTheOtherProcessCountTowardsTheLimit) {
+TEST(HotRestart, DescriptorsOfTheSuccessorCountTowardsTheLimit) {
   RestartingRelay relay(1);
   std::array<int, 2> ready{};
-  std::array<int, 2> go{};
-  ASSERT_EQ(pipe(ready.data()) + pipe(go.data()), 0);
+  std::array<int, 2> exit_signal{};
+  ASSERT_EQ(pipe(ready.data()) + pipe(exit_signal.data()), 0);
   const pid_t child = fork();
-  if (child == 0) hold_descriptors(relay.folder.path(), ready[1], go[0]);
+  if (child == 0) hold_descriptors(relay.folder.path(), ready[1], exit_signal[0]);
   char answer = 0;
   ASSERT_EQ(read(ready[0], &answer, 1), 1);
   EXPECT_EQ(answer, 'y');
@@ -73,14 +73,14 @@
   EXPECT_TRUE(relay.run_until([&] { return rejected.is_ended_by_peer(); }));
   EXPECT_EQ(rejected.received(), "BUSY\r\n");
 
-  EXPECT_EQ(write(go[1], "g", 1), 1);
+  EXPECT_EQ(write(exit_signal[1], "g", 1), 1);
   EXPECT_EQ(waitpid(child, nullptr, 0), child);
   relay.run_for(50);
   relay.establish_session("2");
-  for (const int fd : {ready[0], ready[1], go[0], go[1]}) close(fd);
+  for (const int fd : {ready[0], ready[1], exit_signal[0], exit_signal[1]}) close(fd);
 }
 
-TEST(HotRestart, TheStateArrivesAsItWas) {
+TEST(HotRestart, StateIsReceivedAsSentAndAMalformedMessageIsSkipped) {
   const TemporaryFolder folder;
   admin::HotRestartSocket first(folder.path(), "n");
   admin::HotRestartSocket second(folder.path(), "n");
@@ -106,22 +106,23 @@
   EXPECT_EQ(backend.admitted_in_slot, 9u);
   EXPECT_TRUE(backend.is_ejected && backend.is_capacity_inferred && !backend.is_unresponsive);
 
-  // What cannot be understood costs nothing but itself.
+  // A malformed message does not end the connection.
   EXPECT_EQ(send(sender->descriptor(), "rubbish", 7, 0), 7);
   const admin::ReceiveResult malformed = receiver.receive();
   EXPECT_FALSE(malformed.handover);
   EXPECT_FALSE(malformed.is_peer_gone);
 }
 
-// The disk fails through the whole of the restart, and the socket between the two is full at first.
-TEST(HotRestart, ABackendDisabledWhileTheDiskFailsStaysDisabledInTheSuccessor) {
+// Writes to the disk fail during the whole restart, and the socket between the two processes is full at
+// first.
+TEST(HotRestart, BackendDisabledDuringWriteErrorsStaysDisabledInTheSuccessor) {
   const FaultPlanScope scope;
   RestartingRelay relay(2, true);
   fault_plan().storage.error_number = ENOSPC;
   fault_plan().storage.per_mille = 1000;
-  TestSocket caller = TestSocket::connected_to(relay.admin_ports[0]);
-  caller.send(http_post("/backends/disable", R"({"who":"s-1"})"));
-  ASSERT_TRUE(relay.run_until([&] { return caller.received().starts_with("HTTP/1.1 200"); }));
+  TestSocket admin_client = TestSocket::connected_to(relay.admin_ports[0]);
+  admin_client.send(http_post("/backends/disable", R"({"who":"s-1"})"));
+  ASSERT_TRUE(relay.run_until([&] { return admin_client.received().starts_with("HTTP/1.1 200"); }));
 
   fault_plan().hand_over.error_number = EAGAIN;
   fault_plan().hand_over.remaining = 3;
@@ -132,8 +133,8 @@
     EXPECT_EQ(relay.backend_index(relay.establish_session(std::to_string(i)).upstream), 0u);
 }
 
-// As a fleet of 2,000 backends has it: 170 KB.
-TEST(HotRestart, ALargeStateArrivesWhole) {
+// The state of 2,000 backends in one message: 170 KB.
+TEST(HotRestart, LargeStateIsReceivedCompletely) {
   std::array<int, 2> ends{};
   ASSERT_EQ(socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK, 0, ends.data()), 0);
   const admin::HandoverChannel sender{net::FileDescriptor(ends[0])};
--- a/tests/admin/session_handover_test.cpp
+++ b/tests/admin/session_handover_test.cpp
@@ -1,4 +1,4 @@
-// What becomes of a relay's clients when a second process takes its place.
+// The clients of a relay during a hot restart.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -10,16 +10,16 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(SessionHandover, EstablishedSessionsGoOnUnnoticed) {
+TEST(SessionHandover, EstablishedSessionsContinueInTheSuccessor) {
   RestartingRelay relay(2);
   auto session = relay.establish_session("1");
-  auto torn = relay.establish_session("2");
-  torn.upstream.send("half a li");
-  ASSERT_TRUE(relay.run_until([&] { return torn.client.received().ends_with("half a li"); }));
+  auto mid_line = relay.establish_session("2");
+  mid_line.upstream.send("half a li");
+  ASSERT_TRUE(relay.run_until([&] { return mid_line.client.received().ends_with("half a li"); }));
 
   relay.replace();
   relay.run_for(60);
-  torn.upstream.send("ne\r\n");
+  mid_line.upstream.send("ne\r\n");
   relay.run_for(60);
   EXPECT_TRUE(relay.first->is_empty());
 
@@ -28,17 +28,18 @@
   EXPECT_TRUE(relay.run_until([&] { return session.upstream.received().ends_with("to you\r\n"); }));
   EXPECT_TRUE(relay.run_until([&] { return session.client.received() == "UP r\r\nto you, too\r\n"; }));
 
-  torn.upstream.send("BYE\r\n");
-  torn.upstream.close();
-  EXPECT_TRUE(relay.run_until([&] { return torn.client.is_ended_by_peer(); }));
-  EXPECT_EQ(torn.client.received(), "UP r\r\nhalf a line\r\nBYE\r\n");
+  mid_line.upstream.send("BYE\r\n");
+  mid_line.upstream.close();
+  EXPECT_TRUE(relay.run_until([&] { return mid_line.client.is_ended_by_peer(); }));
+  EXPECT_EQ(mid_line.client.received(), "UP r\r\nhalf a line\r\nBYE\r\n");
 
   TestSocket other = relay.connect_client("OPEN 1 1 c=talk,d=1200\r\n");
-  EXPECT_TRUE(relay.run_until([&] { return other.received() == "ERR\r\n"; }));  // the id is in use here, too
+  EXPECT_TRUE(relay.run_until(
+      [&] { return other.received() == "ERR\r\n"; }));  // the successor knows that the id is in use
 }
 
-// Some of the first process's clients have sent half a request, some wait for their answer.
-TEST(SessionHandover, ClientsWithoutASessionAreServedAllTheSame) {
+// Clients of the first process that have sent nothing, sent an incomplete request or wait for their answer.
+TEST(SessionHandover, ClientsWithoutAnEstablishedSessionAreServed) {
   RestartingRelay relay(1);
   TestSocket slow = relay.connect_client("OPEN 5 5 c=ta");
   const TestSocket silent = relay.connect_client("");
@@ -64,8 +65,8 @@
   EXPECT_TRUE(relay.accept_attempt());
 }
 
-// It was sent the listening socket and died: sessions that it was not given are migrated, not lost.
-TEST(SessionHandover, ASuccessorThatDiesLeavesTheSessionsToBeMigrated) {
+// Sessions that were not handed over before the successor died are migrated, not lost.
+TEST(SessionHandover, MigratesTheRemainingSessionsIfTheSuccessorDies) {
   RestartingRelay relay(1);
   auto session = relay.establish_session("1");
   session.upstream.send("half a li");
@@ -79,19 +80,19 @@
   EXPECT_EQ(session.client.received(), "UP r\r\nhalf a line\r\nMOVE\r\n");
 }
 
-TEST(SessionHandover, WithoutASuccessorTheSessionsAreMigrated) {
+TEST(SessionHandover, MigratesTheSessionsWithoutASuccessor) {
   RestartingRelay relay(1);
   auto session = relay.establish_session("1");
 
   relay.first->admin_services->shut_down();
-  auto late = relay.establish_session("2");  // new clients are still served for a moment
+  auto new_session = relay.establish_session("2");  // new clients are still served for a short time
 
-  EXPECT_TRUE(
-      relay.run_until([&] { return session.client.is_ended_by_peer() && late.client.is_ended_by_peer(); }));
+  EXPECT_TRUE(relay.run_until(
+      [&] { return session.client.is_ended_by_peer() && new_session.client.is_ended_by_peer(); }));
   EXPECT_EQ(session.client.received(), "UP r\r\nMOVE\r\n");
 }
 
-// An established session as a process hands it over, with the far ends of its connections.
+// A handover message for an established session, with the remote ends of the session's connections.
 struct HandedOverSession {
   TestSocket client_listener = TestSocket::listening();
   TestSocket client = TestSocket::connected_to(client_listener.port());
@@ -107,7 +108,7 @@
   }
 };
 
-TEST(SessionHandover, TheSuccessorMigratesASessionWhoseBackendIsNoLongerListed) {
+TEST(SessionHandover, SuccessorMigratesASessionWhoseBackendIsNotListed) {
   RestartingRelay relay(2);
   auto listed = relay.establish_session("1");
   const std::size_t index = relay.backend_index(listed.upstream);
@@ -121,8 +122,8 @@
   EXPECT_FALSE(listed.client.is_ended_by_peer()) << index;
 }
 
-// A session may come over before the list names its backend.
-TEST(SessionHandover, ABackendKnownFromASessionFirstStaysDisabled) {
+// A session may be handed over before an endpoint list names its backend.
+TEST(SessionHandover, DisabledBackendOfAnUnlistedSessionStaysDisabledOnceListed) {
   RestartingRelay relay(1);
   relay.backends.push_back(TestSocket::listening());
   relay.first->proxy.set_disabled_backends({"s-1"});
