--- a/tests/admin/disabled_backends_test.cpp
+++ b/tests/admin/disabled_backends_test.cpp
@@ -33,8 +33,8 @@
     EXPECT_EQ(relay.backend_index(other.upstream), 1 - disabled);
   }
 
-  EXPECT_EQ(relay.change_backend("enable", backend_uid(disabled)),
-            "HTTP/1.1 200");  // one request reverts both
+  // One request to enable the backend reverts both requests to disable it.
+  EXPECT_EQ(relay.change_backend("enable", backend_uid(disabled)), "HTTP/1.1 200");
   int session_id = 100;
   EXPECT_TRUE(relay.run_until(
       [&] {
--- a/tests/admin/session_handover_test.cpp
+++ b/tests/admin/session_handover_test.cpp
@@ -34,8 +34,8 @@
   EXPECT_EQ(mid_line.client.received(), "UP r\r\nhalf a line\r\nBYE\r\n");
 
   TestSocket other = relay.connect_client("OPEN 1 1 c=talk,d=1200\r\n");
-  EXPECT_TRUE(relay.run_until(
-      [&] { return other.received() == "ERR\r\n"; }));  // the successor knows that the id is in use
+  // The successor knows that the session id is in use.
+  EXPECT_TRUE(relay.run_until([&] { return other.received() == "ERR\r\n"; }));
 }
 
 // Clients of the first process that have sent nothing, sent an incomplete request or wait for their answer.
