--- a/src/proxy/backend_connection.cpp
+++ b/src/proxy/backend_connection.cpp
@@ -8,14 +8,14 @@
 namespace cherryrail::proxy {
 namespace {
 
-// How long a backend has to close once its client has ended its sending.
+// How long a backend may take to close the connection after the client has closed its sending side.
 constexpr Micros kCloseTimeout = 2'000'000;
-// Of a line that was not understood, so much goes into the log.
-constexpr std::size_t kLoggedReplyLength = 80;
+// An unexpected reply is cut to this length in the log.
+constexpr std::size_t kMaxLoggedReplyBytes = 80;
 
 }  // namespace
 
-// ---- The attempt ----------------------------------------------------------------------------------------
+// ---- Attempt --------------------------------------------------------------------------------------------
 
 void BackendConnection::start(const net::Address& address, Micros connect_timeout, Micros attempt_timeout) {
   deadline_ = started_at_ + attempt_timeout;
@@ -25,7 +25,7 @@
     return;
   }
   const net::ConnectAttempt attempt = net::Connection::connect(event_loop_, address, *this);
-  // A relay out of descriptors or ports would otherwise take healthy backends for dead.
+  // Recorded so that a relay that is out of descriptors or ports does not treat healthy backends as failed.
   has_local_failure_ = attempt.is_local_failure;
   connection_ = attempt.connection;
   if (!connection_) {
@@ -48,7 +48,7 @@
   });
 }
 
-// Posted: the balancer is in the midst of the step that started the attempt.
+// Posted, because the balancer call that started the attempt is still in progress.
 void BackendConnection::post_failure(AttemptResult result) {
   event_loop_.post([weak = weak_from_this(), result] {
     if (const auto self = weak.lock()) self->finish_attempt(CloseKind::broken, result);
@@ -77,7 +77,7 @@
   if (state_ == State::established && !bytes.empty()) read_session_lines(bytes);
 }
 
-// Leaves in `bytes` what follows the line.
+// On return, `bytes` holds the data that follows the reply.
 void BackendConnection::read_first_reply(std::string_view& bytes) {
   bytes = lines_.feed(bytes, [this](std::string_view line) {
     on_first_reply(line);
@@ -106,8 +106,8 @@
       finish_attempt(CloseKind::orderly, AttemptResult::error, reply.arguments);
       return;
     default:
-      event_loop_.log().write(net::Topic::error, "unexpected reply of a backend: {}",
-                              line.substr(0, kLoggedReplyLength));
+      event_loop_.log().write(net::Topic::error, "unexpected reply from a backend: {}",
+                              line.substr(0, kMaxLoggedReplyBytes));
       finish_attempt(CloseKind::orderly, AttemptResult::error);
   }
 }
@@ -116,12 +116,13 @@
   return state_ == State::sending_request || state_ == State::awaiting_reply;
 }
 
-// Until the last byte of the open request is written, the backend cannot have begun the session.
-AttemptResult BackendConnection::result_without_reply(AttemptResult once_sent) const {
-  return state_ == State::awaiting_reply ? once_sent : AttemptResult::connect_failed;
+// Until the last byte of the open request is written, the backend cannot have started the session, so the
+// attempt is treated as a failed connection.
+AttemptResult BackendConnection::result_without_reply(AttemptResult result_if_sent) const {
+  return state_ == State::awaiting_reply ? result_if_sent : AttemptResult::connect_failed;
 }
 
-// ---- The session ----------------------------------------------------------------------------------------
+// ---- Session data ---------------------------------------------------------------------------------------
 
 void BackendConnection::resume(net::SocketPtr socket) {
   session_->set_upstream(this);
@@ -129,7 +130,7 @@
   connection_ = net::Connection::adopt(event_loop_, std::move(socket), *this);
 }
 
-// The bytes are passed on as they come, and only then read for the lines that concern the relay, too.
+// Forwards the bytes as they arrive, then scans them for the lines that the relay itself interprets.
 void BackendConnection::read_session_lines(std::string_view bytes) {
   session_->on_upstream_data(bytes);
   while (!bytes.empty() && !lines_.is_overlong() && state_ == State::established) {
@@ -147,11 +148,11 @@
 
 void BackendConnection::send(std::string_view bytes) {
   connection_->send({bytes});
-  if (connection_->unsent_bytes() > kSendBufferLimit) session_->set_downstream_reading(false);
+  if (connection_->unsent_bytes() > kSendBufferLimitBytes) session_->set_downstream_reading(false);
 }
 
-void BackendConnection::set_reading(bool wanted) {
-  if (connection_) connection_->set_reading(wanted);
+void BackendConnection::set_reading(bool is_enabled) {
+  if (connection_) connection_->set_reading(is_enabled);
 }
 
 void BackendConnection::end_sending() {
@@ -161,20 +162,20 @@
   });
 }
 
-// ---- The end --------------------------------------------------------------------------------------------
+// ---- Closing --------------------------------------------------------------------------------------------
 
 void BackendConnection::on_peer_closed(CloseKind kind) {
   const bool is_established = state_ == State::established;
   finish_attempt(kind, is_established ? established_result() : result_without_reply(AttemptResult::reset));
 }
 
-bool BackendConnection::has_said_last_line() const {
+bool BackendConnection::has_received_last_line() const {
   return last_line_kind_ == protocol::ReplyKind::bye || last_line_kind_ == protocol::ReplyKind::move;
 }
 
 AttemptResult BackendConnection::established_result() const {
   if (last_line_kind_ == protocol::ReplyKind::bye) return AttemptResult::succeeded;
-  const bool is_expected = has_said_last_line() || session_->has_client_left();
+  const bool is_expected = has_received_last_line() || session_->has_client_left();
   return is_expected ? AttemptResult::cancelled : AttemptResult::reset;
 }
 
@@ -184,21 +185,21 @@
   const LoadReport load = owner_.parse_load_report(report);
   const AttemptOutcome outcome{result, event_loop_.now() - started_at_};
   const bool was_established = state_ == State::established;
-  const bool is_given_up = result == AttemptResult::timed_out && has_sent_request();
+  const bool is_request_abandoned = result == AttemptResult::timed_out && has_sent_request();
   state_ = State::closed;
   const UpstreamResult upstream_result =
       has_local_failure_ ? UpstreamResult::no_descriptors : to_upstream_result(result);
   log_result(upstream_result);
   session_->on_upstream_closed(was_established ? kind : CloseKind::orderly, outcome, load, last_line);
-  close_connection(is_given_up);
+  close_connection(is_request_abandoned);
   owner_.on_closed(number_, upstream_result);
 }
 
-// A request that nobody waits for any longer must not be delivered later: after a plain close the system
-// would go on sending it.
-void BackendConnection::close_connection(bool is_request_given_up) {
+// An abandoned request must not be delivered later. After an orderly close the kernel would keep
+// retransmitting it, so the connection is reset instead.
+void BackendConnection::close_connection(bool is_request_abandoned) {
   if (!connection_) return;
-  if (is_request_given_up) {
+  if (is_request_abandoned) {
     connection_->reset();
   } else {
     connection_->close();
@@ -231,9 +232,9 @@
 
 // ---- Hot restart ----------------------------------------------------------------------------------------
 
-// After its last line the backend is about to close, so there is nothing left to hand over.
+// A backend that has sent its last line is about to close, so its connection is not handed over.
 std::optional<int> BackendConnection::transferable_descriptor() const {
-  if (state_ != State::established || has_said_last_line() || !connection_->is_transferable()) return {};
+  if (state_ != State::established || has_received_last_line() || !connection_->is_transferable()) return {};
   return connection_->descriptor();
 }
 
--- a/src/proxy/backend_connection.hpp
+++ b/src/proxy/backend_connection.hpp
@@ -1,4 +1,4 @@
-// One connection to a backend: an attempt to open a session there, and then the session's backend end.
+// A backend connection: an attempt to open a session at the backend, then the session's upstream connection.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace cherryrail::proxy {
 
-// What a backend's connection asks of the connector that owns it.
+// Callbacks of a backend connection to the connector that owns it.
 class BackendConnectionOwner {
  public:
   BackendConnectionOwner() = default;
@@ -22,7 +22,7 @@
 
   virtual LoadReport parse_load_report(std::string_view fields) const = 0;
   virtual void on_load_line(ProxySession& session, double value) = 0;
-  // The object may be removed, though not within this call.
+  // The owner may destroy the backend connection, but only after this call has returned.
   virtual void on_closed(std::uint64_t number, UpstreamResult result) = 0;
 
  protected:
@@ -39,9 +39,9 @@
         started_at_(event_loop.now()) {}
   ~BackendConnection() = default;
 
-  // Starts an attempt. `connect_timeout` and `attempt_timeout` both count from now.
+  // Starts an attempt. `connect_timeout` and `attempt_timeout` both start now.
   void start(const net::Address& address, Micros connect_timeout, Micros attempt_timeout);
-  // The end of a session that is established already.
+  // Takes over the upstream connection of a session that is already established.
   void resume(net::SocketPtr socket);
 
   ProxySession& session() { return *session_; }
@@ -72,24 +72,24 @@
   void on_first_reply(std::string_view line);
   void read_session_lines(std::string_view bytes);
   void on_peer_closed(CloseKind kind);
-  AttemptResult result_without_reply(AttemptResult once_sent) const;
+  AttemptResult result_without_reply(AttemptResult result_if_sent) const;
   AttemptResult established_result() const;
-  bool has_said_last_line() const;
+  bool has_received_last_line() const;
   void finish_attempt(CloseKind kind, AttemptResult result, std::string_view report = {},
                       std::string_view last_line = {});
-  void close_connection(bool is_request_given_up);
+  void close_connection(bool is_request_abandoned);
   void detach(UpstreamResult result);
   void log_result(UpstreamResult result);
 
   net::EventLoop& event_loop_;
   BackendConnectionOwner& owner_;
-  std::uint64_t number_;  // for the log
+  std::uint64_t number_;  // identifies the connection to the owner and in the log
   std::shared_ptr<ProxySession> session_;
   Micros started_at_;
   Micros deadline_ = 0;  // for the backend's first reply
   std::shared_ptr<net::Connection> connection_;
   protocol::LineReader lines_;
-  protocol::ReplyKind last_line_kind_ = protocol::ReplyKind::other;  // of the lines passed on
+  protocol::ReplyKind last_line_kind_ = protocol::ReplyKind::other;  // of the lines forwarded to the client
   State state_ = State::connecting;
   bool has_local_failure_ = false;
 };
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -7,17 +7,17 @@
 namespace cherryrail::proxy {
 namespace {
 
-// Pings answered in one read. The front that sends them waits for each answer, so more than a few at once
-// come from somebody else.
+// Pings answered per read. The front-end proxy that sends them waits for each answer, so more than a few at
+// once come from another kind of client.
 constexpr int kMaxPingsPerRead = 4;
 
-// Whether a first line that begins so can still become one that is understood.
-bool may_begin_request(std::string_view begun) {
-  const auto agrees_with = [begun](std::string_view prefix) {
-    const std::size_t length = std::min(begun.size(), prefix.size());
-    return begun.substr(0, length) == prefix.substr(0, length);
+// Whether a partly received first line can still become a valid request.
+bool may_become_request(std::string_view partial_line) {
+  const auto is_compatible_with = [partial_line](std::string_view prefix) {
+    const std::size_t length = std::min(partial_line.size(), prefix.size());
+    return partial_line.substr(0, length) == prefix.substr(0, length);
   };
-  return agrees_with("OPEN ") || agrees_with("PING\r");
+  return is_compatible_with("OPEN ") || is_compatible_with("PING\r");
 }
 
 }  // namespace
@@ -41,7 +41,7 @@
   open_connection(std::move(socket));
 }
 
-// ---- The first line -------------------------------------------------------------------------------------
+// ---- Open request ---------------------------------------------------------------------------------------
 
 void ClientConnection::on_received(std::string_view bytes) {
   if (!session_) {
@@ -78,28 +78,28 @@
 
 void ClientConnection::request_session(std::string_view unread) {
   owner_.on_request_received(number_);
-  // A client that does not wait for its answer is not served: its lines would have to be kept here.
+  // A client that sends data before its answer is rejected: the relay would have to buffer that data.
   if (!unread.empty()) {
     finish("ERR", DownstreamResult::early_data);
     return;
   }
-  read_now();  // the end of its stream may follow right behind the line
+  read_now();  // the end of the stream may directly follow the request
   if (!is_closed_) owner_.on_session_requested(session_);
 }
 
-// A connection that has not asked for a session may be anybody's, so it is closed at the first byte that
-// cannot belong to a request, rather than kept until the time for the line is over.
+// A connection without a session may not come from a real client, so it is closed at the first byte that
+// cannot belong to a request instead of at the request timeout.
 void ClientConnection::check_partial_request() {
   if (has_partial_request()) last_write_at_ = event_loop_.now();
   if (lines_.is_overlong()) {
     finish("ERR", DownstreamResult::line_too_long);
-  } else if (!may_begin_request(lines_.partial_line())) {
+  } else if (!may_become_request(lines_.partial_line())) {
     finish("ERR", DownstreamResult::bad_request);
   }
 }
 
-// A request may be on its way from a client that has written nothing yet, and would be read by nobody: this
-// line answers it.
+// A client that has sent nothing yet gets BUSY, because its request may be in flight: it will not be read,
+// and BUSY answers it.
 void ClientConnection::time_out() {
   finish(has_partial_request() ? "ERR" : "BUSY", DownstreamResult::request_timeout);
 }
@@ -111,7 +111,7 @@
 }
 
 void ClientConnection::shut_down() {
-  read_now();  // its first line may not have been read yet
+  read_now();  // the socket may hold an unread open request
   if (is_closed_) return;
   if (session_) {
     session_->shut_down();
@@ -120,7 +120,7 @@
   }
 }
 
-// ---- The session ----------------------------------------------------------------------------------------
+// ---- Session data ---------------------------------------------------------------------------------------
 
 void ClientConnection::on_all_sent() {
   if (session_) session_->set_upstream_reading(true);
@@ -128,17 +128,17 @@
 
 void ClientConnection::send(std::string_view bytes, std::string_view suffix) {
   connection_->send({bytes, suffix});
-  if (connection_->unsent_bytes() > kSendBufferLimit) session_->set_upstream_reading(false);
+  if (connection_->unsent_bytes() > kSendBufferLimitBytes) session_->set_upstream_reading(false);
   is_established_ = true;
 }
 
-// ---- The end --------------------------------------------------------------------------------------------
+// ---- Closing --------------------------------------------------------------------------------------------
 
 void ClientConnection::on_peer_closed(CloseKind kind) {
   if (is_closed_) return;
   if (session_) session_->on_downstream_closed(kind);
-  const bool is_over = kind == CloseKind::broken || !session_;
-  if (!is_closed_ && is_over) finish("", DownstreamResult::client_closed);
+  const bool must_close = kind == CloseKind::broken || !session_;
+  if (!is_closed_ && must_close) finish("", DownstreamResult::client_closed);
 }
 
 void ClientConnection::finish(std::string_view last_line, DownstreamResult result) {
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -1,4 +1,4 @@
-// One client's connection: its first line, and then the client's end of its session.
+// A client connection: reads the client's open request, then forwards data for its session.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 class ClientConnection;
 
-// What a client's connection asks of the listener that owns it.
+// Callbacks of a client connection to the listener that owns it.
 class ClientConnectionOwner {
  public:
   ClientConnectionOwner() = default;
@@ -22,12 +22,12 @@
   ClientConnectionOwner& operator=(const ClientConnectionOwner&) = delete;
 
   virtual std::shared_ptr<ProxySession> create_session(std::string_view open_request_line) = 0;
-  // The client's first line is complete: it is pending no longer.
+  // The client's open request is complete, so the client is no longer pending.
   virtual void on_request_received(std::uint64_t number) = 0;
   virtual void on_session_requested(const std::shared_ptr<ProxySession>& session) = 0;
-  // The connection is over for the session, and stays until the client has read its last line.
+  // The session no longer uses the connection, which stays open until the client has read its last line.
   virtual void on_closing(const std::shared_ptr<net::Connection>& connection) = 0;
-  // The object may be removed, though not within this call.
+  // The owner may destroy the client connection, but only after this call has returned.
   virtual void on_closed(std::uint64_t number, DownstreamResult result) = 0;
 
  protected:
@@ -40,26 +40,26 @@
       : event_loop_(event_loop), owner_(owner), number_(number) {}
   ~ClientConnection() = default;
 
-  // A client that has written nothing yet. `waited`: how long it has been given already by a predecessor.
+  // Starts reading a client's open request. `waited` is how long a predecessor has already waited for it.
   void start(net::SocketPtr socket, Micros waited);
-  // A client whose session is established already.
+  // Takes over the client of a session that is already established.
   void resume(net::SocketPtr socket, const std::shared_ptr<ProxySession>& session);
-  // Answers a client without a session "BUSY" and closes.
+  // Answers "BUSY" to a client without a session and closes the connection.
   void reject(DownstreamResult result);
-  // The time for the first line is over.
+  // Closes the connection of a client that did not complete its open request in time.
   void time_out();
-  // The process stops: the client is answered or its session migrated.
+  // Process shutdown: answers the client or migrates its session.
   void shut_down();
 
-  // Hot restart, as in ProxySession; also for a client that has no session yet.
+  // Hot restart, as in ProxySession, but also for a client that has no session yet.
   std::optional<OutgoingHandover> prepare_handover() const;
   void finish_handover();
 
   bool has_session() const { return session_ && !is_closed_; }
-  bool is_pending() const { return !session_ && !is_closed_; }  // has not asked for a session yet
+  bool is_pending() const { return !session_ && !is_closed_; }  // has sent no complete open request yet
   bool has_partial_request() const { return !lines_.partial_line().empty(); }
   Micros pending_since() const { return pending_since_; }
-  // When a part of its first line came; when it connected, until one does.
+  // When the client last sent part of its open request, or when it connected if it has sent nothing.
   Micros last_write_at() const { return last_write_at_; }
 
   // net::ConnectionHandler
@@ -72,7 +72,7 @@
   void send(std::string_view bytes, std::string_view suffix) override;
   void finish(std::string_view last_line, DownstreamResult result) override;
   void reset(DownstreamResult result) override;
-  void set_reading(bool wanted) override { connection_->set_reading(wanted); }
+  void set_reading(bool is_enabled) override { connection_->set_reading(is_enabled); }
   void read_now() override { connection_->read_now(); }
   std::optional<int> transferable_descriptor() const override;
   void release_to_successor() override;
@@ -88,7 +88,7 @@
 
   net::EventLoop& event_loop_;
   ClientConnectionOwner& owner_;
-  std::uint64_t number_;  // for the log
+  std::uint64_t number_;  // identifies the connection to the owner and in the log
   std::shared_ptr<net::Connection> connection_;
   std::shared_ptr<ProxySession> session_;
   protocol::LineReader lines_;
--- a/src/proxy/connection_result.hpp
+++ b/src/proxy/connection_result.hpp
@@ -1,4 +1,4 @@
-// How the connections of a session end, as the log names it.
+// How the connections of a session end, as written to the log.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +9,24 @@
 
 namespace cherryrail::proxy {
 
-// How a peer ended its connection: after what it had to say, or by a reset or a failure.
+// How a peer ended its connection: by an orderly close, or by a reset or a failure.
 enum class CloseKind : std::uint8_t { orderly, broken };
 
 // How a client's connection ended.
 enum class DownstreamResult : std::uint8_t {
   served,
   backend_closed,
-  client_closed,  // before or after its session, by the client itself
-  client_left,    // while its session was not answered yet
+  client_closed,  // closed by the client: without a session, or by a reset or a failure
+  client_left,    // closed in an orderly way by the client before its open request was answered
   migrated,
-  handed_over,  // to the process that follows this one
+  handed_over,  // to the successor at a hot restart
   failed,
-  early_data,  // more than the first line before the answer to it
+  early_data,  // the client sent data before its open request was answered
   request_timeout,
   line_too_long,
   bad_request,
   no_descriptors,
-  shutting_down,  // the process stops before the client has asked for a session
+  shutting_down,  // process shutdown before the client sent an open request
   rejected_shutting_down,
   rejected_attempts_failed,
   rejected_backends_warming_up,
@@ -34,7 +34,7 @@
   rejected_no_backend,
 };
 
-// How an attempt, or the backend's end of an established session, ended.
+// How an attempt, or the upstream connection of an established session, ended.
 enum class UpstreamResult : std::uint8_t {
   served,
   error,
@@ -54,7 +54,7 @@
 using DownstreamCounts = ResultCounts<DownstreamResult, DownstreamResult::rejected_no_backend>;
 using UpstreamCounts = ResultCounts<UpstreamResult, UpstreamResult::handed_over>;
 
-// The texts of the log's `result` field.
+// The value of the log's `result` field.
 std::string_view to_string(DownstreamResult result);
 std::string_view to_string(UpstreamResult result);
 
--- a/src/proxy/downstream_connection.hpp
+++ b/src/proxy/downstream_connection.hpp
@@ -1,4 +1,4 @@
-// The client's end of a session, as the session sees it.
+// The interface through which a session uses its client connection.
 #pragma once
 
 #include <optional>
@@ -14,19 +14,19 @@
   DownstreamConnection(const DownstreamConnection&) = delete;
   DownstreamConnection& operator=(const DownstreamConnection&) = delete;
 
-  // Both pieces go out in one write; `suffix` may be empty. The first bytes sent establish the session.
+  // Sends both pieces in one write; `suffix` may be empty. The first call marks the session as established.
   virtual void send(std::string_view bytes, std::string_view suffix) = 0;
-  // Sends `last_line`, unless it is empty, and closes once it has gone out.
+  // Sends `last_line`, unless it is empty, and closes the connection once all data is sent.
   virtual void finish(std::string_view last_line, DownstreamResult result) = 0;
-  // Closes with a reset, as the backend did.
+  // Closes with a TCP reset, used after the backend's connection broke.
   virtual void reset(DownstreamResult result) = 0;
-  virtual void set_reading(bool wanted) = 0;
-  // Reads at once what the socket holds: the client may have left meanwhile.
+  virtual void set_reading(bool is_enabled) = 0;
+  // Reads pending data from the socket at once, to find out whether the client has left.
   virtual void read_now() = 0;
-  // The socket's descriptor, if no bytes wait here and the socket is all that a successor needs; the
-  // connection keeps it.
+  // The socket's descriptor, or nothing if a handover of the socket alone would lose data or state. The
+  // connection keeps ownership.
   virtual std::optional<int> transferable_descriptor() const = 0;
-  // Closes this process's copy: the successor has its own.
+  // Closes this process's descriptor after the successor has received its duplicate.
   virtual void release_to_successor() = 0;
 
  protected:
--- a/src/proxy/downstream_listener.cpp
+++ b/src/proxy/downstream_listener.cpp
@@ -6,8 +6,8 @@
 namespace cherryrail::proxy {
 namespace {
 
-// How long a connection that asks for no session may stay: a client in order may take two seconds to write
-// its first line.
+// How long a connection may stay open without an open request. A well-behaved client may take two seconds to
+// send its request.
 constexpr Micros kRequestTimeout = 2'600'000;
 
 }  // namespace
@@ -18,15 +18,15 @@
       listener_(event_loop, std::move(listening_socket),
                 [this](net::SocketPtr socket) { on_accepted(std::move(socket)); }) {}
 
-// ---- Clients --------------------------------------------------------------------------------------------
+// ---- Client connections ---------------------------------------------------------------------------------
 
 void DownstreamListener::on_accepted(net::SocketPtr socket) {
-  forget_closed_connections();
+  remove_closed_connections();
   free_descriptors();
   if (callbacks_.are_descriptors_short()) {
-    // Every descriptor serves a session: the client is answered at once, and nothing of it is kept.
+    // Every descriptor is used by a session: the client is answered at once and no state is kept for it.
     net::send_and_close(std::move(socket), "BUSY\r\n");
-    event_loop_.log().write(net::Topic::error, "client rejected: descriptors run short");
+    event_loop_.log().write(net::Topic::error, "client rejected: out of file descriptors");
     return;
   }
   add_pending_client(std::move(socket), "", 0);
@@ -49,7 +49,7 @@
   client->start(std::move(socket), waited);
   schedule_request_timeout(client);
   if (!received.empty()) client->on_received(received);
-  client->read_now();  // most have written their first line by now
+  client->read_now();  // most clients have already sent their request
 }
 
 void DownstreamListener::add_established_client(net::SocketPtr socket,
@@ -60,13 +60,13 @@
 void DownstreamListener::schedule_request_timeout(const ClientPtr& client) {
   const Micros due = client->pending_since() + kRequestTimeout;
   event_loop_.call_at(due, [this, weak = std::weak_ptr<ClientConnection>(client)] {
-    const auto late = weak.lock();
-    if (!late || !late->is_pending()) return;
-    const bool has_pinged = event_loop_.now() < late->pending_since() + kRequestTimeout;
+    const auto pending_client = weak.lock();
+    if (!pending_client || !pending_client->is_pending()) return;
+    const bool has_pinged = event_loop_.now() < pending_client->pending_since() + kRequestTimeout;
     if (has_pinged) {
-      schedule_request_timeout(late);
+      schedule_request_timeout(pending_client);
     } else {
-      late->time_out();
+      pending_client->time_out();
     }
   });
 }
@@ -82,47 +82,47 @@
                      [this](std::uint64_t number) { return clients_.at(number)->has_partial_request(); });
 }
 
-// A copy: clients that close meanwhile leave the map.
+// Returns a copy, because clients that close during an iteration are removed from the map.
 std::vector<DownstreamListener::ClientPtr> DownstreamListener::all_clients() const {
   std::vector<ClientPtr> all;
   for (const auto& [number, client] : clients_) all.push_back(client);
   return all;
 }
 
-// A client that has written its line to this machine counts as accepted, though nobody may have read it yet
-// or even accepted its connection: what the process holds when it stops is cut off without an answer.
-void DownstreamListener::shut_down(bool has_successor, Micros latest) {
+// A client whose request has reached this machine must be answered, even if its connection is not accepted
+// yet: when the process exits, the kernel drops such connections without an answer.
+void DownstreamListener::shut_down(bool has_successor, Micros accept_deadline) {
   if (has_successor) {
     listener_.set_accepting(false);
   } else {
     is_shutting_down_ = true;
-    listener_.close_once_drained(latest);
+    listener_.close_once_drained(accept_deadline);
   }
   for (const auto& client : all_clients()) client->shut_down();
 }
 
-void DownstreamListener::hand_over(const Give& give) {
+void DownstreamListener::hand_over(const SendHandover& send) {
   for (const auto& client : all_clients()) {
     const auto handover = client->prepare_handover();
     if (!handover) continue;
-    if (!give(*handover)) return;
+    if (!send(*handover)) return;
     client->finish_handover();
   }
 }
 
-// ---- Descriptors ----------------------------------------------------------------------------------------
+// ---- File descriptors -----------------------------------------------------------------------------------
 
-// Hundreds of connections that write nothing, or ping and stay, would hold all descriptors; then none would
-// be left for clients with a session to open, nor for attempts, health checks and discovery.
+// Hundreds of connections that send nothing, or only pings, could otherwise hold all descriptors and leave
+// none for clients that open sessions, nor for attempts, health checks and discovery.
 void DownstreamListener::free_descriptors() {
   if (callbacks_.are_descriptors_short()) close_answered_connections();
-  // A first line that is read meanwhile asks for descriptors itself.
+  // Reading a pending client's request opens a session, which calls this function again.
   if (std::exchange(is_rejecting_pending_, true)) return;
   reject_pending_clients();
   is_rejecting_pending_ = false;
 }
 
-void DownstreamListener::forget_closed_connections() {
+void DownstreamListener::remove_closed_connections() {
   while (!closing_.empty()) {
     const auto oldest = closing_.front().lock();
     if (oldest && oldest->is_open()) return;
@@ -130,7 +130,7 @@
   }
 }
 
-// A client whose last line has not gone out yet would never read it, so such a connection stays.
+// A connection whose last line is not fully sent stays open, because the client would never receive the line.
 void DownstreamListener::close_answered_connections() {
   std::erase_if(closing_, [this](const auto& entry) {
     const auto connection = entry.lock();
@@ -143,14 +143,15 @@
 }
 
 void DownstreamListener::reject_pending_clients() {
-  std::size_t second_chances = pending_.size();
+  std::size_t remaining_rechecks = pending_.size();
   while (callbacks_.are_descriptors_short() && !pending_.empty()) {
     const auto client = longest_silent_client();
     const Micros last_write_at = client->last_write_at();
-    client->read_now();  // its first line may not have been read yet
+    client->read_now();  // the socket may hold an unread open request
     if (!client->is_pending()) continue;
-    // In a crowd that never finishes a line, clients that are slow but go on writing would be the oldest.
-    if (client->last_write_at() > last_write_at && second_chances-- > 0) continue;
+    // A client that has just sent data is skipped: among many connections that never complete a request, slow
+    // clients that keep sending would otherwise be rejected first.
+    if (client->last_write_at() > last_write_at && remaining_rechecks-- > 0) continue;
     client->reject(DownstreamResult::no_descriptors);
   }
 }
@@ -163,7 +164,7 @@
   return clients_.at(*longest_silent);
 }
 
-// ---- What the clients' connections report -------------------------------------------------------------
+// ---- ClientConnectionOwner ------------------------------------------------------------------------------
 
 std::shared_ptr<ProxySession> DownstreamListener::create_session(std::string_view open_request_line) {
   return callbacks_.create_session(open_request_line);
--- a/src/proxy/downstream_listener.hpp
+++ b/src/proxy/downstream_listener.hpp
@@ -1,4 +1,4 @@
-// Accepts clients and owns their connections.
+// Accepts client connections and owns them.
 #pragma once
 
 #include <cstddef>
@@ -16,42 +16,44 @@
 
 namespace cherryrail::proxy {
 
-// What the listener asks of the proxy.
+// Callbacks of the listener to the proxy.
 struct DownstreamCallbacks {
   std::function<std::shared_ptr<ProxySession>(std::string_view open_request_line)> create_session;
-  // Called once the client is registered as the session's downstream end.
+  // Called after the client is registered as the session's downstream connection.
   std::function<void(const std::shared_ptr<ProxySession>&)> on_session_requested;
   std::function<bool()> are_descriptors_short;
 };
 
 class DownstreamListener final : private ClientConnectionOwner {
  public:
-  // Accepts nobody until set_accepting(true).
+  // Accepts no connections until set_accepting(true).
   DownstreamListener(net::EventLoop& event_loop, net::SocketPtr listening_socket,
                      DownstreamCallbacks callbacks);
   ~DownstreamListener() = default;
   DownstreamListener(const DownstreamListener&) = delete;
   DownstreamListener& operator=(const DownstreamListener&) = delete;
 
-  void set_accepting(bool wanted) { listener_.set_accepting(wanted); }
-  // The process stops: every client that has connected is answered or its session migrated. Without a
-  // successor those in the kernel's queue are, too, by `latest`, and the socket is closed.
-  void shut_down(bool has_successor, Micros latest);
+  void set_accepting(bool is_enabled) { listener_.set_accepting(is_enabled); }
+  // Process shutdown: answers every connected client or migrates its session. Without a successor, also
+  // accepts and answers the clients in the kernel's accept queue, until `accept_deadline` at the latest, and
+  // closes the listening socket.
+  void shut_down(bool has_successor, Micros accept_deadline);
 
   std::size_t session_count() const;  // established or waiting for a backend
   bool is_empty() const { return clients_.empty(); }
   const DownstreamCounts& result_counts() const { return result_counts_; }
-  bool has_partial_requests() const;  // some client has written part of its first line
+  bool has_partial_requests() const;  // a client has sent part of its open request
 
-  // Hot restart. `give` returns whether the successor has got the message; at the first false the rest stays.
-  using Give = std::function<bool(const OutgoingHandover&)>;
-  void hand_over(const Give& give);
-  // Clients from a predecessor: one without a session, and one whose session is established.
+  // Hot restart. `send` returns whether the successor has received the message; after the first failure the
+  // remaining clients stay with this process.
+  using SendHandover = std::function<bool(const OutgoingHandover&)>;
+  void hand_over(const SendHandover& send);
+  // Takes over a client from a predecessor: one without a session, or one whose session is established.
   void add_pending_client(net::SocketPtr socket, std::string_view received, Micros waited);
   void add_established_client(net::SocketPtr socket, const std::shared_ptr<ProxySession>& session);
 
-  // Where descriptors are short: closes connections that have their last line, then pending clients, the one
-  // that has written nothing for longest first. Called before a client is accepted or a session opened.
+  // While descriptors are short, closes connections whose last line has been sent, then pending clients,
+  // longest silent first. Called before a client is accepted or a session is opened.
   void free_descriptors();
 
  private:
@@ -61,7 +63,7 @@
   ClientPtr add_client();
   std::vector<ClientPtr> all_clients() const;
   void schedule_request_timeout(const ClientPtr& client);
-  void forget_closed_connections();
+  void remove_closed_connections();
   void close_answered_connections();
   void reject_pending_clients();
   ClientPtr longest_silent_client() const;
@@ -75,14 +77,14 @@
 
   net::EventLoop& event_loop_;
   DownstreamCallbacks callbacks_;
-  std::map<std::uint64_t, ClientPtr> clients_;          // by number, which is the order of their coming
-  std::set<std::uint64_t> pending_;                     // those that have not asked for a session yet
-  std::deque<std::weak_ptr<net::Connection>> closing_;  // answered; the client may still have to read it
+  std::map<std::uint64_t, ClientPtr> clients_;          // keyed by number, in order of acceptance
+  std::set<std::uint64_t> pending_;                     // clients without a complete open request
+  std::deque<std::weak_ptr<net::Connection>> closing_;  // last line sent, maybe not yet read by the client
   DownstreamCounts result_counts_;
   std::uint64_t last_number_ = 0;
   bool is_rejecting_pending_ = false;
   bool is_shutting_down_ = false;
-  net::Listener listener_;  // last: it uses the rest
+  net::Listener listener_;  // destroyed first: its callback uses the other members
 };
 
 }  // namespace cherryrail::proxy
--- a/src/proxy/handover_message.hpp
+++ b/src/proxy/handover_message.hpp
@@ -1,5 +1,5 @@
-// What a relay process hands over to its successor at a hot restart. The proxy makes and takes these
-// messages; the admin part carries them between the two processes.
+// The messages that a relay process sends to its successor at a hot restart. The proxy creates and handles
+// them; the admin module transfers them between the two processes.
 #pragma once
 
 #include <map>
@@ -11,35 +11,35 @@
 
 namespace cherryrail::proxy {
 
-// A client that has not finished its first line; its one socket goes along.
+// A client that has not completed its open request, sent along with its socket.
 struct PendingClient {
-  std::string received;  // what it has written so far
-  Micros waited = 0;     // for its first line
+  std::string received;  // the part of the open request received so far
+  Micros waited = 0;     // time spent waiting for the open request
 };
 
-// A session that is open at a backend; the client's and the backend's sockets go along.
+// A session established at a backend, sent along with the client's and the backend's sockets.
 struct OpenSession {
-  std::string open_request;  // the client's first line, without its end
+  std::string open_request;  // the client's open request, without the line ending
   std::string backend;       // the backend's uid
-  Micros waited = 0;         // since a line of the client, not answered yet, was passed on
+  Micros waited = 0;         // time since the client's first unanswered line was forwarded, 0 if none
 };
 
-// What operators changed that the file of disabled backends does not have yet; no socket goes along.
+// Operators' changes that are not yet stored in the file of disabled backends; sent without a socket.
 struct DisabledBackendChanges {
-  std::map<std::string, bool> is_disabled;  // by the backend's uid
+  std::map<std::string, bool> is_disabled;  // keyed by the backend's uid
 };
 
-// A snapshot is what the balancer has learned; no socket goes along.
+// The state snapshot holds the balancer's learned state and is sent without a socket.
 using HandoverMessage = std::variant<PendingClient, OpenSession, StateSnapshot, DisabledBackendChanges>;
 
-// A message to send. The sockets stay the sender's: the process that receives gets duplicates.
+// A message to send. The sender keeps its sockets; the receiving process gets duplicates.
 struct OutgoingHandover {
   HandoverMessage message;
-  int downstream = -1;  // the client's socket, -1 if none goes along
-  int upstream = -1;    // the backend's socket, -1 if none goes along
+  int downstream = -1;  // the client's socket, -1 for none
+  int upstream = -1;    // the backend's socket, -1 for none
 };
 
-// A message that was received, with the sockets that came along.
+// A received message and its sockets.
 struct IncomingHandover {
   HandoverMessage message;
   net::FileDescriptor downstream;
--- a/src/proxy/invariant_monitor.cpp
+++ b/src/proxy/invariant_monitor.cpp
@@ -5,8 +5,9 @@
 namespace cherryrail::proxy {
 namespace {
 
-// An answer that comes later than this after the client's timeout is lost; until then it only earns nothing.
-constexpr Micros kLateAnswer = 500'000;
+// An answer after the client's timeout has no value. It violates the invariant only after this grace period,
+// when the client no longer receives it.
+constexpr Micros kAnswerGracePeriod = 500'000;
 
 bool must_not_run_twice(const Session& session) {
   return session.traffic_class != nullptr &&
@@ -42,11 +43,11 @@
 void SessionInvariants::on_attempt_started(std::string_view session_id) {
   monitor_.expect(!has_attempt_, Invariant::one_attempt_at_a_time, session_id);
   has_attempt_ = true;
-  is_request_out_ = false;
+  is_request_sent_ = false;
 }
 
 void SessionInvariants::on_request_not_run() {
-  if (is_request_out_) has_run_ = has_run_at_earlier_;
+  if (is_request_sent_) may_have_run_ = may_have_run_before_;
 }
 
 void SessionInvariants::on_request(const Session& session, std::string_view session_id,
@@ -54,20 +55,20 @@
   monitor_.expect(has_client, Invariant::no_request_without_client, session_id);
   monitor_.expect(backend.state == EndpointState::ready, Invariant::no_request_to_unready_backend,
                   session_id);
-  monitor_.expect(!has_run_ || !must_not_run_twice(session), Invariant::no_effect_twice, session_id);
-  is_request_out_ = true;
-  has_run_at_earlier_ = has_run_;
-  has_run_ = true;
+  monitor_.expect(!may_have_run_ || !must_not_run_twice(session), Invariant::no_effect_twice, session_id);
+  is_request_sent_ = true;
+  may_have_run_before_ = may_have_run_;
+  may_have_run_ = true;
 }
 
 void SessionInvariants::on_final_answer(const Session& session, std::string_view session_id, Micros now,
                                         bool invites_retry) {
   monitor_.expect(!has_final_answer_, Invariant::one_final_answer, session_id);
   has_final_answer_ = true;
-  const bool is_in_time = session.deadline == 0 || now <= session.deadline + kLateAnswer;
+  const bool is_in_time = session.deadline == 0 || now <= session.deadline + kAnswerGracePeriod;
   monitor_.expect(is_in_time, Invariant::answer_in_time, session_id);
-  const bool is_safe = !invites_retry || !has_run_ || !must_not_run_twice(session);
-  monitor_.expect(is_safe, Invariant::no_effect_twice, session_id);
+  const bool is_retry_safe = !invites_retry || !may_have_run_ || !must_not_run_twice(session);
+  monitor_.expect(is_retry_safe, Invariant::no_effect_twice, session_id);
 }
 
 }  // namespace cherryrail::proxy
--- a/src/proxy/invariant_monitor.hpp
+++ b/src/proxy/invariant_monitor.hpp
@@ -1,5 +1,6 @@
-// Checks, while the relay runs, that what leaves on its connections keeps what is promised to clients and
-// backends. It decides nothing: the balancer's SessionRules do, and this has its own account of each session.
+// Checks at run time that the data sent on the relay's connections keeps the guarantees given to clients and
+// backends. The checks make no decisions, which are left to the balancer's SessionRules, and track each
+// session's state independently of them.
 #pragma once
 
 #include <array>
@@ -22,10 +23,10 @@
 };
 constexpr std::size_t kInvariantCount = 6;
 
-// For the log and the statistics.
+// The invariant's name in the log and the statistics.
 std::string_view to_string(Invariant invariant);
 
-// Counts violations and writes an `error` line for each.
+// Counts violations and writes an `error` log line for each.
 class InvariantMonitor {
  public:
   explicit InvariantMonitor(net::Log& log) : log_(log) {}
@@ -40,28 +41,28 @@
   std::array<std::uint64_t, kInvariantCount> violations_{};
 };
 
-// What has passed on the wire for one session until its final answer.
+// The invariants of one session, from what has been sent for it up to its final answer.
 class SessionInvariants {
  public:
   explicit SessionInvariants(InvariantMonitor& monitor) : monitor_(monitor) {}
 
-  // A connection to a backend begins to be made; it has ended.
+  // Start and end of a connection to a backend.
   void on_attempt_started(std::string_view session_id);
   void on_attempt_ended() { has_attempt_ = false; }
   // The first byte of the open request is about to be written.
   void on_request(const Session& session, std::string_view session_id, const Backend& backend,
                   bool has_client);
-  // The backend has said that it has not run what was sent, or the request never became whole.
+  // The backend has answered that it did not run the request, or the request was not sent completely.
   void on_request_not_run();
-  // A final answer is about to be written; `invites_retry` if it says that nothing has happened.
+  // A final answer is about to be written. `invites_retry`: it tells the client that the request was not run.
   void on_final_answer(const Session& session, std::string_view session_id, Micros now, bool invites_retry);
 
  private:
   InvariantMonitor& monitor_;
   bool has_attempt_ = false;
-  bool is_request_out_ = false;      // of the latest attempt
-  bool has_run_ = false;             // at some backend, or may have
-  bool has_run_at_earlier_ = false;  // the same before the latest request
+  bool is_request_sent_ = false;      // in the latest attempt
+  bool may_have_run_ = false;         // at any backend
+  bool may_have_run_before_ = false;  // at any backend, before the latest request
   bool has_final_answer_ = false;
 };
 
--- a/src/proxy/load_report_reader.cpp
+++ b/src/proxy/load_report_reader.cpp
@@ -6,7 +6,7 @@
 namespace cherryrail::proxy {
 namespace {
 
-// Larger figures are no plausible utilization, load or latency.
+// Larger values are not plausible as a utilization, load or latency.
 constexpr double kMaxUtilization = 1e6;
 constexpr double kMaxLoadLineValue = 1e12;
 
@@ -15,7 +15,7 @@
 LoadReportReader::LoadReportReader(const config::SiteSettings& settings, Balancer& balancer)
     : settings_(settings), balancer_(balancer) {}
 
-// Sites name the field differently; the last one that is there counts.
+// The field's name differs between sites; the last of these fields that is present applies.
 LoadReport LoadReportReader::parse(std::string_view fields) {
   LoadReport report;
   for (const std::string_view name : {"util", "busy", "x0"}) {
@@ -25,8 +25,8 @@
   return report;
 }
 
-// Where no loads are reported, the value is how many milliseconds a message takes there; taken for a load, it
-// would upset every sum of loads and hide that the backend is overloaded.
+// Where backends do not report session loads, the value is their message latency in milliseconds. If it were
+// used as a load, it would corrupt the sums of loads and hide that the backend is overloaded.
 void LoadReportReader::report_load_line(ProxySession& session, double value) const {
   const bool is_plausible = value >= 0 && value < kMaxLoadLineValue;
   if (!is_plausible) return;
--- a/src/proxy/load_report_reader.hpp
+++ b/src/proxy/load_report_reader.hpp
@@ -1,4 +1,4 @@
-// Reads what backends report of their load.
+// Reads the load that backends report.
 #pragma once
 
 #include <string_view>
@@ -10,12 +10,13 @@
 
 class LoadReportReader {
  public:
-  // Both have to outlive the reader.
+  // Both arguments must outlive the reader.
   LoadReportReader(const config::SiteSettings& settings, Balancer& balancer);
 
-  // A backend's report on all that it holds, such as "inflight=7,queue=2,util=0.61".
+  // Parses a backend's report on its overall load, such as "inflight=7,queue=2,util=0.61".
   static LoadReport parse(std::string_view fields);
-  // A LOAD line on an established session: tells the balancer, as the value that the site's backends mean.
+  // Passes the value of a LOAD line on an established session to the balancer, as a session load or a message
+  // latency, whichever the site's backends report.
   void report_load_line(ProxySession& session, double value) const;
 
  private:
--- a/src/proxy/open_request_reader.cpp
+++ b/src/proxy/open_request_reader.cpp
@@ -11,11 +11,12 @@
 namespace cherryrail::proxy {
 namespace {
 
-// Larger figures are no plausible timeout (eleven days) and no plausible load, and would not fit.
+// Larger values are neither a plausible timeout (eleven days) nor a plausible load, and would not
+// fit the types they are converted to.
 constexpr double kMaxTimeoutMilliseconds = 1e9;
 constexpr double kMaxLoadHint = 1e12;
 
-// The size of `names` if the name is not among them.
+// The index of `name` in `names`, or the size of `names` if it is not found.
 std::size_t position_of(std::string_view name, const std::vector<std::string>& names) {
   return static_cast<std::size_t>(std::find(names.begin(), names.end(), name) - names.begin());
 }
@@ -27,11 +28,11 @@
     case SessionRequestFault::malformed:
       return protocol::describe(*request.fault());
     case SessionRequestFault::unknown_traffic_class:
-      return "its class is not known";
+      return "unknown traffic class";
     case SessionRequestFault::no_client_timeout:
-      return "it does not tell how long the client waits";
+      return "missing or invalid client timeout";
     case SessionRequestFault::duplicate_id:
-      return "its id is another's";
+      return "duplicate session id";
   }
   return "unknown";
 }
@@ -56,7 +57,7 @@
   read_keys(session);
   const auto load_hint = protocol::parse_number(request.value("h"));
   if (load_hint && *load_hint > 0 && *load_hint < kMaxLoadHint)
-    session.load_hint = *load_hint * 1000;  // stated for a millisecond, kept for a second
+    session.load_hint = *load_hint * 1000;  // per millisecond in the request, per second in the session
   read_tenant(session);
   session.is_reconnecting = request.value("r") == "1" || request.value("again") == "1";
   return {};
@@ -72,7 +73,7 @@
   }
 }
 
-// Sites name the field differently; the last one that is there counts.
+// The field's name differs between sites; the last of these fields that is present applies.
 void OpenRequestReader::read_tenant(ProxySession& session) const {
   for (const char* field : {"t", "tenant", "realm"}) {
     const std::string_view tenant = session.request().value(field);
--- a/src/proxy/open_request_reader.hpp
+++ b/src/proxy/open_request_reader.hpp
@@ -11,22 +11,22 @@
 
 // Why a session cannot be opened.
 enum class SessionRequestFault : std::uint8_t {
-  malformed,  // the line is no open request at all
+  malformed,  // the line does not parse as an open request
   unknown_traffic_class,
   no_client_timeout,
   duplicate_id,
 };
 
-// The text for the log, after "bad open request: ".
+// The text that follows "bad open request: " in the log.
 const char* describe(SessionRequestFault fault, const protocol::OpenRequest& request);
 
 class OpenRequestReader {
  public:
-  // Both have to outlive the reader.
+  // Both arguments must outlive the reader.
   OpenRequestReader(const config::SiteSettings& settings, const Balancer& balancer);
 
-  // Sets what the balancer has to know of the session; a fault if it cannot be opened. `now` is when the
-  // client's time to wait begins.
+  // Sets the session properties that the balancer uses. Returns a fault if the session cannot be opened.
+  // `now` is the start of the client's timeout.
   std::optional<SessionRequestFault> read(ProxySession& session, Micros now) const;
 
  private:
--- a/src/proxy/proxy_backend.hpp
+++ b/src/proxy/proxy_backend.hpp
@@ -1,4 +1,4 @@
-// A backend as the proxy knows it: the balancer's view, and how to reach it.
+// A backend as the proxy sees it: the balancer's state, and the address to connect to.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace cherryrail::proxy {
 
-// Every backend that this process's balancer holds is one of these; EndpointRegistry alone makes them.
+// The type of every backend in this process's balancer. Only EndpointRegistry creates these objects.
 struct ProxyBackend final : Backend {
   std::string uid;  // its name in the endpoint list
   net::Address address;
--- a/src/proxy/proxy_session.cpp
+++ b/src/proxy/proxy_session.cpp
@@ -10,17 +10,17 @@
 namespace cherryrail::proxy {
 namespace {
 
-// How long a migration waits for the end of a line that the backend has begun.
-constexpr Micros kLineEndTimeout = 500'000;
+// How long a migration waits for the backend to complete a partly sent line.
+constexpr Micros kLineCompletionTimeout = 500'000;
 
 }  // namespace
 
-void ProxySession::set_downstream_reading(bool wanted) {
-  if (downstream_) downstream_->set_reading(wanted);
+void ProxySession::set_downstream_reading(bool is_enabled) {
+  if (downstream_) downstream_->set_reading(is_enabled);
 }
 
-void ProxySession::set_upstream_reading(bool wanted) {
-  if (upstream_) upstream_->set_reading(wanted);
+void ProxySession::set_upstream_reading(bool is_enabled) {
+  if (upstream_) upstream_->set_reading(is_enabled);
 }
 
 void ProxySession::set_upstream(UpstreamConnection* upstream) {
@@ -36,8 +36,7 @@
   return unanswered_since_ > 0 ? now - unanswered_since_ : 0;
 }
 
-// ---- The client's end
-// -----------------------------------------------------------------------------------
+// ---- Downstream events ----------------------------------------------------------------------------------
 
 void ProxySession::on_downstream_data(std::string_view bytes) {
   if (!upstream_) return;
@@ -61,21 +60,19 @@
 
 void ProxySession::on_early_data() { end_before_answer(DownstreamResult::early_data); }
 
-// The client may only have ended its sending, so it is answered; and the
-// attempt under way is not left to run for nobody. Where the site lets none be
-// cancelled, what has been sent runs to its end all the same.
+// The client is answered, because it may have closed only its sending side. The current attempt is abandoned,
+// since nobody awaits its result, unless its request has been sent and the site forbids cancelling attempts.
 void ProxySession::end_before_answer(DownstreamResult result) {
   balancer_.on_client_left(*this);
   refuse("ERR", result);
   if (upstream_ && (balancer_.may_cancel_attempts() || !upstream_->has_sent_request())) abandon_attempt();
 }
 
-// ---- The backend's end
-// ----------------------------------------------------------------------------------
+// ---- Upstream events ------------------------------------------------------------------------------------
 
-// While the connection was established, or the loop was held up, the client may
-// have left, the backend may have begun to drain, or the time in which the
-// backends recognise a repeated request may have passed.
+// Checked again here because, while the connection was being established or the event loop was stalled, the
+// client may have left, the backend may have started to drain, or the backends' deduplication window for a
+// repeated request may have passed.
 bool ProxySession::may_send_request() {
   const auto keep_alive = self();
   if (downstream_) downstream_->read_now();
@@ -93,7 +90,7 @@
 
 void ProxySession::on_upstream_established(std::string_view line, Micros duration) {
   const auto keep_alive = self();
-  if (!downstream_ || is_answered) {  // answered already: what comes now is for nobody
+  if (!downstream_ || is_answered) {  // the client has left or already has its final answer
     abandon_attempt();
     return;
   }
@@ -106,16 +103,15 @@
   const auto keep_alive = self();
   if (bytes.empty() || !downstream_) return;
   downstream_->send(bytes, {});
-  is_between_lines_ = bytes.back() == '\n';
-  if (is_migration_pending_ && is_between_lines_) {
+  is_at_line_boundary_ = bytes.back() == '\n';
+  if (is_migration_pending_ && is_at_line_boundary_) {
     close_for_migration();
     return;
   }
-  // Only a late answer is reported: a prompt one shows that lines pass, not how
-  // loaded the backend is, and the balancer checks a backend's health less
-  // often once it has heard from it.
-  const Micros asked_at = std::exchange(unanswered_since_, 0);
-  const Micros duration = asked_at > 0 ? event_loop_.now() - asked_at : 0;
+  // Only a latency above the objective is reported. A fast answer shows that the connection works, not how
+  // loaded the backend is; and the balancer checks a backend's health less often after each report from it.
+  const Micros line_sent_at = std::exchange(unanswered_since_, 0);
+  const Micros duration = line_sent_at > 0 ? event_loop_.now() - line_sent_at : 0;
   if (duration > traffic_class->message_latency_objective)
     balancer_.on_message_latency_reported(*this, duration);
 }
@@ -139,11 +135,9 @@
   report_attempt_end(outcome, is_finished, report);
 }
 
-// ---- The end of an attempt
-// ------------------------------------------------------------------------------
+// ---- Reports to the balancer ----------------------------------------------------------------------------
 
-// Posted: a call from within the balancer's own step would change what that
-// step works on.
+// Posted, because a nested call from within a balancer call would modify the state that call works on.
 void ProxySession::report_attempt_end(const AttemptOutcome& outcome, bool is_finished,
                                       const LoadReport& report) {
   event_loop_.post([session = self(), outcome, is_finished, report] {
@@ -155,10 +149,9 @@
   report_attempt_end({AttemptResult::cancelled, event_loop_.now() - attempt_started_at}, is_finished, {});
 }
 
-// ---- What the balancer asks for
-// -------------------------------------------------------------------------
+// ---- Actions requested by the balancer ------------------------------------------------------------------
 
-// What most kept the session from being placed, as far as can be told.
+// The main reason, as far as known, why no backend could be selected for the session.
 DownstreamResult ProxySession::rejection_result() const {
   if (balancer_.is_shutting_down()) return DownstreamResult::rejected_shutting_down;
   if (attempts > 0) return DownstreamResult::rejected_attempts_failed;
@@ -168,7 +161,7 @@
 }
 
 void ProxySession::reject(Micros retry_after) {
-  const Micros milliseconds = (retry_after + 999) / 1000;  // rounded up: no earlier than asked for
+  const Micros milliseconds = (retry_after + 999) / 1000;  // rounded up: never earlier than requested
   const std::string line = retry_after > 0 ? fmt::format("BUSY {}", milliseconds) : "BUSY";
   refuse(line, rejection_result());
 }
@@ -193,22 +186,21 @@
 
 void ProxySession::migrate() {
   if (!is_established || is_migration_pending_) return;
-  if (is_between_lines_ || !downstream_) {
+  if (is_at_line_boundary_ || !downstream_) {
     close_for_migration();
     return;
   }
   is_migration_pending_ = true;
-  event_loop_.call_at(event_loop_.now() + kLineEndTimeout, [weak = weak_from_this()] {
+  event_loop_.call_at(event_loop_.now() + kLineCompletionTimeout, [weak = weak_from_this()] {
     const auto session = std::static_pointer_cast<ProxySession>(weak.lock());
     if (session && session->is_established) session->close_for_migration();
   });
 }
 
-// A client that has part of a line gets no MOVE: it would read it as the rest
-// of that line.
+// A client that has received part of a line gets no MOVE, which it would read as the rest of that line.
 void ProxySession::close_for_migration() {
   is_migration_pending_ = false;
-  if (downstream_) downstream_->finish(is_between_lines_ ? "MOVE" : "", DownstreamResult::migrated);
+  if (downstream_) downstream_->finish(is_at_line_boundary_ ? "MOVE" : "", DownstreamResult::migrated);
   if (upstream_) upstream_->abandon();
   report_cancelled(true);
 }
@@ -223,11 +215,10 @@
   if (upstream_) abandon_attempt();
 }
 
-// ---- Hot restart
-// ----------------------------------------------------------------------------------------
+// ---- Hot restart ----------------------------------------------------------------------------------------
 
 std::optional<OutgoingHandover> ProxySession::prepare_handover() const {
-  if (!is_established || !is_between_lines_ || has_client_left_ || !downstream_ || !upstream_) return {};
+  if (!is_established || !is_at_line_boundary_ || has_client_left_ || !downstream_ || !upstream_) return {};
   const std::optional<int> downstream = downstream_->transferable_descriptor();
   const std::optional<int> upstream = upstream_->transferable_descriptor();
   if (!downstream || !upstream) return {};
@@ -245,10 +236,10 @@
   report_cancelled(true);
 }
 
-void ProxySession::resume(const std::shared_ptr<Backend>& holder, Micros waited) {
+void ProxySession::resume(const std::shared_ptr<Backend>& serving_backend, Micros waited) {
   attempt_started_at = event_loop_.now();
   if (waited > 0) unanswered_since_ = event_loop_.now() - waited;
-  balancer_.adopt(self(), holder);
+  balancer_.adopt(self(), serving_backend);
 }
 
 }  // namespace cherryrail::proxy
--- a/src/proxy/proxy_session.hpp
+++ b/src/proxy/proxy_session.hpp
@@ -1,4 +1,4 @@
-// A session in the proxy: the one object that its client's connection and its backend's connection share.
+// A session in the proxy: the object shared by its client connection and its backend connection.
 #pragma once
 
 #include <cstddef>
@@ -17,12 +17,12 @@
 
 namespace cherryrail::proxy {
 
-// How many bytes may wait for a slow reader at either end before reading at the other end pauses.
-constexpr std::size_t kSendBufferLimit = 65536;
+// High watermark of a connection's send buffer: above it, reading from the opposite connection pauses.
+constexpr std::size_t kSendBufferLimitBytes = 65536;
 
-// Passes lines between the two ends and tells the balancer what becomes of the session. Neither end knows
-// the other. The calls into the balancer that end an attempt are posted, because this is often called from
-// within the balancer's own step.
+// Forwards data between the downstream and the upstream connection, which do not reference each other, and
+// reports the session's progress to the balancer. Calls that report the end of an attempt are posted to the
+// event loop, because the session is often called from within a balancer call.
 class ProxySession final : public Session {
  public:
   ProxySession(net::EventLoop& event_loop, Balancer& balancer, InvariantMonitor& invariant_monitor,
@@ -36,48 +36,52 @@
   const protocol::OpenRequest& request() const { return request_; }
   std::string_view id() const { return request_.id(); }
 
-  // Each end registers itself while it is there; null takes it back.
+  // Each connection registers itself while it is open; null unregisters it.
   void set_downstream(DownstreamConnection* downstream) { downstream_ = downstream; }
   void set_upstream(UpstreamConnection* upstream);
-  // Each end pauses and resumes the other when its own peer reads slowly.
-  void set_downstream_reading(bool wanted);
-  void set_upstream_reading(bool wanted);
+  // Backpressure: each connection pauses and resumes reading from the opposite one when its own peer reads
+  // slowly.
+  void set_downstream_reading(bool is_enabled);
+  void set_upstream_reading(bool is_enabled);
 
-  // Called by the client's end.
+  // Called by the downstream connection.
   void on_downstream_data(std::string_view bytes);
   void on_downstream_closed(CloseKind kind);
   void on_early_data();
 
-  // Asked by the backend's end before the first byte of the open request is written: true if the attempt is
-  // still wanted and allowed.
+  // Called by the upstream connection before it writes the first byte of the open request. Returns whether
+  // the client is still connected and the balancer still permits the request to this backend.
   bool may_send_request();
-  // Called by the backend's end. `line` is the backend's reply that establishes the session.
+  // Called by the upstream connection. `line` is the backend's reply that establishes the session; `duration`
+  // is the time since the attempt started.
   void on_upstream_established(std::string_view line, Micros duration);
   void on_upstream_data(std::string_view bytes);
   void on_upstream_closed(CloseKind kind, const AttemptOutcome& outcome, const LoadReport& report,
                           std::string_view last_line);
 
-  // Answers the client without asking the balancer.
+  // Sends the client `last_line` and closes its connection, without involving the balancer.
   void refuse(std::string_view last_line, DownstreamResult result);
 
-  // What the balancer asks for.
-  void reject(Micros retry_after);  // 0: no time is stated to the client
+  // Called by the proxy on behalf of the balancer.
+  void reject(Micros retry_after);  // 0: the answer to the client states no retry delay
   void fail();
   void abandon_attempt();
   void migrate();
 
-  // The process stops: an established session is migrated, one that waits is answered now.
+  // Process shutdown: migrates an established session; answers the client of a waiting one at once.
   void shut_down();
 
-  // Hot restart. The message for the successor, if the session can go now: both ends idle, between two
-  // lines. The sockets stay this process's own until release_to_successor().
+  // Hot restart. Returns the message for the successor, or nothing if the session cannot be handed over now:
+  // both connections must be idle and the backend's last line complete. This process keeps its sockets until
+  // release_to_successor().
   std::optional<OutgoingHandover> prepare_handover() const;
   void release_to_successor();
-  // Both ends have come from a predecessor. `waited`: since a line of the client that is not answered yet.
-  void resume(const std::shared_ptr<Backend>& holder, Micros waited);
+  // Continues a session received from the predecessor. `waited` is the time since the client's first
+  // unanswered line, 0 if there is none.
+  void resume(const std::shared_ptr<Backend>& serving_backend, Micros waited);
 
   bool has_client_left() const { return has_client_left_; }
-  // For how long a line of the client has waited for any line of the backend; 0 if none waits.
+  // How long the client's first unanswered line has waited for any data from the backend; 0 if none waits.
   Micros time_unanswered(Micros now) const;
 
  private:
@@ -95,9 +99,9 @@
   SessionInvariants invariants_;
   DownstreamConnection* downstream_ = nullptr;
   UpstreamConnection* upstream_ = nullptr;
-  Micros unanswered_since_ = 0;        // when the first line not answered yet was passed on; 0: none
-  bool is_between_lines_ = true;       // the backend's last line is complete
-  bool is_migration_pending_ = false;  // waits for the end of the backend's line
+  Micros unanswered_since_ = 0;        // when the first unanswered line was forwarded; 0: none
+  bool is_at_line_boundary_ = true;    // the last line forwarded from the backend is complete
+  bool is_migration_pending_ = false;  // until the backend's current line is complete
   bool has_client_left_ = false;
 };
 
--- a/src/proxy/proxy_statistics.hpp
+++ b/src/proxy/proxy_statistics.hpp
@@ -1,4 +1,4 @@
-// What a relay tells of itself: figures since its process started, and those of the moment.
+// The statistics that a relay exports: counters since its process started, and current values.
 #pragma once
 
 #include <cstddef>
@@ -14,7 +14,7 @@
   UpstreamCounts attempts;
   InvariantMonitor invariants;
   std::size_t sessions = 0;     // established or waiting for a backend
-  std::size_t descriptors = 0;  // in use, by the relay's own account
+  std::size_t descriptors = 0;  // in use, as counted by the relay itself
   Micros wall_clock_step = 0;   // since the start
   std::uint64_t lost_log_lines = 0;
 };
--- a/src/proxy/session_id_registry.cpp
+++ b/src/proxy/session_id_registry.cpp
@@ -3,24 +3,24 @@
 namespace cherryrail::proxy {
 namespace {
 
-// How long an id stays known, at least.
+// The minimum time for which an id stays registered.
 constexpr Micros kRetention = 5'000'000;
 
 }  // namespace
 
 bool SessionIdRegistry::add(std::string_view id, const std::shared_ptr<Session>& session, Micros now) {
-  forget_old(now);
+  remove_expired(now);
   const auto [entry, is_new] = ids_.try_emplace(std::string(id), session);
   if (is_new) next_checks_.emplace_back(now + kRetention, entry);
   return is_new;
 }
 
-void SessionIdRegistry::forget_old(Micros now) {
+void SessionIdRegistry::remove_expired(Micros now) {
   while (!next_checks_.empty() && next_checks_.front().first <= now) {
     const Ids::iterator entry = next_checks_.front().second;
     next_checks_.pop_front();
-    const bool is_over = entry->second.expired();
-    if (is_over) {
+    const bool has_session_ended = entry->second.expired();
+    if (has_session_ended) {
       ids_.erase(entry);
     } else {
       next_checks_.emplace_back(now + kRetention, entry);
--- a/src/proxy/session_id_registry.hpp
+++ b/src/proxy/session_id_registry.hpp
@@ -1,4 +1,4 @@
-// The ids of the sessions of this relay, to recognise one that comes twice.
+// The session ids in use at this relay, to detect duplicates.
 #pragma once
 
 #include <deque>
@@ -13,21 +13,21 @@
 
 namespace cherryrail::proxy {
 
-// Every backend refuses a second session with the id of an open one, and each refusal would count against a
-// healthy backend. An id is new with every connection, so it stays known for some seconds after its session's
-// end, too.
+// A backend refuses a second session with the id of an open one, and each refusal would be recorded as a
+// failure of a healthy backend. Clients use a new id for every connection, so ids stay reserved for some
+// seconds after their session ends, too.
 class SessionIdRegistry {
  public:
-  // False if the id is known already; it stays the other session's then.
+  // Registers the id for the session. Returns false if the id is already registered, for another session.
   bool add(std::string_view id, const std::shared_ptr<Session>& session, Micros now);
 
  private:
   using Ids = std::map<std::string, std::weak_ptr<Session>, std::less<>>;
 
-  void forget_old(Micros now);
+  void remove_expired(Micros now);
 
   Ids ids_;
-  std::deque<std::pair<Micros, Ids::iterator>> next_checks_;  // in the order of time
+  std::deque<std::pair<Micros, Ids::iterator>> next_checks_;  // ordered by due time
 };
 
 }  // namespace cherryrail::proxy
--- a/src/proxy/unresponsive_session_monitor.hpp
+++ b/src/proxy/unresponsive_session_monitor.hpp
@@ -1,4 +1,4 @@
-// Finds established sessions on which a client's lines bring nothing back.
+// Finds established sessions whose backend no longer answers the client.
 #pragma once
 
 #include "net/event_loop.hpp"
@@ -6,16 +6,17 @@
 
 namespace cherryrail::proxy {
 
-// A backend that stops answering breaks no connection, nor does a session that hangs: its client is just
-// served nothing. A healthy connection brings a line back at once, however loaded the backend is, so a wait
-// of two attempt latency objectives is long enough to tell.
+// A hanging backend or session closes no connection; its client just gets no answers. On a healthy connection
+// a line arrives at once, however loaded the backend is, so a session that has waited for two attempt latency
+// objectives is considered unresponsive.
 class UnresponsiveSessionMonitor {
  public:
-  // Has to outlive the loop's run. `attempt_latency_objective`: the shortest of any traffic class.
+  // The monitor must outlive the event loop's run. `attempt_latency_objective` is the shortest of all traffic
+  // classes.
   UnresponsiveSessionMonitor(net::EventLoop& event_loop, UpstreamConnector& upstream, Balancer& balancer,
                              Micros attempt_latency_objective);
 
-  // Checks all sessions now, and again and again from now on.
+  // Checks all sessions now and schedules the next check, at intervals of half the objective.
   void run();
 
  private:
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -1,4 +1,4 @@
-// The backend's end of a session, as the session sees it: an attempt, or the established connection.
+// The interface through which a session uses its backend connection, during the attempt and once established.
 #pragma once
 
 #include <optional>
@@ -13,13 +13,13 @@
   UpstreamConnection& operator=(const UpstreamConnection&) = delete;
 
   virtual void send(std::string_view bytes) = 0;
-  virtual void end_sending() = 0;  // the client sends no more
-  // Whether some of the open request may have reached the backend, which has not answered yet.
+  virtual void end_sending() = 0;  // closes the sending side, after the client has closed its own
+  // Whether part of the open request may have reached the backend and no answer has arrived yet.
   virtual bool has_sent_request() const = 0;
-  // Closes; the session is told nothing more by it.
+  // Closes the connection; the session receives no further calls from it.
   virtual void abandon() = 0;
-  virtual void reset() = 0;  // the same with a reset
-  virtual void set_reading(bool wanted) = 0;
+  virtual void reset() = 0;  // like abandon(), but closes with a TCP reset
+  virtual void set_reading(bool is_enabled) = 0;
   // As in DownstreamConnection.
   virtual std::optional<int> transferable_descriptor() const = 0;
   virtual void release_to_successor() = 0;
--- a/src/proxy/upstream_connector.cpp
+++ b/src/proxy/upstream_connector.cpp
@@ -28,11 +28,13 @@
   add_connection(session)->resume(std::move(socket));
 }
 
-void UpstreamConnector::for_each_unanswered(Micros waited, const std::function<void(ProxySession&)>& visit) {
-  // Collected first: a visit may close connections, which changes the map.
+void UpstreamConnector::for_each_unanswered(Micros min_wait,
+                                            const std::function<void(ProxySession&)>& visit) {
+  // Collected first, because `visit` may close connections, which modifies the map.
   std::vector<BackendConnectionPtr> unanswered;
   for (const auto& [number, connection] : connections_) {
-    if (connection->session().time_unanswered(event_loop_.now()) >= waited) unanswered.push_back(connection);
+    if (connection->session().time_unanswered(event_loop_.now()) >= min_wait)
+      unanswered.push_back(connection);
   }
   for (const auto& connection : unanswered) visit(connection->session());
 }
--- a/src/proxy/upstream_connector.hpp
+++ b/src/proxy/upstream_connector.hpp
@@ -1,4 +1,4 @@
-// Opens sessions at backends and owns the connections to them, one a session.
+// Opens sessions at backends and owns the backend connections, one per session.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 namespace cherryrail::proxy {
 
-// What the connector asks of the proxy.
+// Callbacks of the connector to the proxy.
 struct UpstreamCallbacks {
   std::function<LoadReport(std::string_view fields)> parse_load_report;
-  // A backend's LOAD line on an established session.
+  // Called for each LOAD line that a backend sends on an established session.
   std::function<void(ProxySession&, double value)> on_load_line;
 };
 
@@ -24,14 +24,14 @@
   UpstreamConnector(const UpstreamConnector&) = delete;
   UpstreamConnector& operator=(const UpstreamConnector&) = delete;
 
-  // The session is told how it went, never within this call. The connection may take so many times the usual
-  // connect timeout.
+  // Starts an attempt, whose result is reported to the session, never within this call. The configured
+  // connect timeout is multiplied by `connect_timeout_factor`.
   void start_attempt(const std::shared_ptr<ProxySession>& session, const net::Address& address,
                      Micros attempt_timeout, unsigned connect_timeout_factor);
-  // An established session that a predecessor has handed over.
+  // Takes over the upstream connection of an established session that a predecessor has handed over.
   void add_established(const std::shared_ptr<ProxySession>& session, net::SocketPtr socket);
-  // Calls `visit` for each session whose client has waited at least so long for any line.
-  void for_each_unanswered(Micros waited, const std::function<void(ProxySession&)>& visit);
+  // Calls `visit` for each session whose client has waited at least `min_wait` for any data from the backend.
+  void for_each_unanswered(Micros min_wait, const std::function<void(ProxySession&)>& visit);
   const UpstreamCounts& result_counts() const { return result_counts_; }
 
  private:
@@ -47,7 +47,7 @@
   net::EventLoop& event_loop_;
   Micros connect_timeout_;
   UpstreamCallbacks callbacks_;
-  std::map<std::uint64_t, BackendConnectionPtr> connections_;  // by number
+  std::map<std::uint64_t, BackendConnectionPtr> connections_;  // keyed by connection number
   UpstreamCounts result_counts_;
   std::uint64_t last_number_ = 0;
 };
