--- a/tests/proxy/client_departure_test.cpp
+++ b/tests/proxy/client_departure_test.cpp
@@ -1,5 +1,5 @@
-// A client that leaves while it waits for its session, in each way in which a connection can end. No byte of
-// an attempt may be sent for it from then on.
+// A client that leaves while its session is being opened, by each way of ending a connection. From then on,
+// no request may be sent to a backend for it.
 #include <gtest/gtest.h>
 #include <poll.h>
 
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr const char* kOpenRequest = "OPEN 9b1f 7f3a c=talk,d=1200\r\n";
-constexpr const char* kNoCancelling = R"(,"permissions":{"max_setups":3,"connect_timeout":100})";
+constexpr const char* kCancellingForbidden = R"(,"permissions":{"max_setups":3,"connect_timeout":100})";
 
 enum class Departure { finishes_sending, closes, resets };
 
@@ -27,7 +27,7 @@
         return client.reset();
     }
   }
-  // By the protocol the client has ended, so it is told; only one that still reads can receive that.
+  // The protocol requires an ERR answer, which only a client that still reads can receive.
   static void expect_error(LoopbackRelay& relay, TestSocket& client) {
     if (GetParam() != Departure::finishes_sending) return;
     EXPECT_TRUE(relay.run_until([&] { return client.is_ended_by_peer(); }));
@@ -51,20 +51,20 @@
                          ::testing::Values(Departure::finishes_sending, Departure::closes, Departure::resets),
                          departure_name);
 
-TEST_P(ClientDeparture, RightAfterItsRequestOpensNoConnection) {
+TEST_P(ClientDeparture, OpensNoConnectionIfTheClientLeavesRightAfterItsRequest) {
   LoopbackRelay relay(2);
   TestSocket client = relay.connect_client(kOpenRequest);
 
-  depart(client);  // the relay finds the request and the end together
+  depart(client);  // the relay reads the request and the end of stream together
   relay.run_for(50);
 
   for (const TestSocket& backend : relay.backends) EXPECT_FALSE(backend.accept());
   expect_error(relay, client);
 }
 
-// The connection and the client's end are ready in one turn, the connection first: the client's end must be
-// looked for before the request is sent on.
-TEST_P(ClientDeparture, WhileItsConnectionComesUpSendsNothing) {
+// The backend connection and the client's end of stream become ready in the same event loop iteration, the
+// connection first: the relay must check for the client's departure before it sends the request.
+TEST_P(ClientDeparture, SendsNothingIfTheClientLeavesWhileTheBackendConnects) {
   LoopbackRelay relay(2);
   TestSocket client = relay.connect_client(kOpenRequest);
   TestSocket upstream = relay.accept_connection();
@@ -76,7 +76,7 @@
   expect_error(relay, client);
 }
 
-TEST_P(ClientDeparture, BetweenAFailedAttemptAndTheNextSendsNothing) {
+TEST_P(ClientDeparture, SendsNothingIfTheClientLeavesBetweenTwoAttempts) {
   LoopbackRelay relay(2);
   TestSocket client = relay.connect_client(kOpenRequest);
   TestSocket first = relay.accept_attempt();
@@ -89,7 +89,7 @@
   expect_error(relay, client);
 }
 
-TEST_P(ClientDeparture, DuringAStallOfTheRelaySendsNothing) {
+TEST_P(ClientDeparture, SendsNothingIfTheClientLeavesDuringARelayStall) {
   LoopbackRelay relay(2);
   TestSocket client = relay.connect_client(kOpenRequest);
   TestSocket first = relay.accept_attempt();
@@ -102,7 +102,7 @@
   EXPECT_FALSE(relay.has_unaccepted_attempt());
 }
 
-TEST_P(ClientDeparture, CancelsTheAttemptUnderWay) {
+TEST_P(ClientDeparture, CancelsTheCurrentAttempt) {
   LoopbackRelay relay(2);
   TestSocket client = relay.connect_client(kOpenRequest);
   TestSocket upstream = relay.accept_attempt();
@@ -113,8 +113,8 @@
   EXPECT_FALSE(relay.has_unaccepted_attempt());
 }
 
-TEST_P(ClientDeparture, LeavesTheAttemptUnderWayToItsTimeoutWhereCancellingIsNotAllowed) {
-  LoopbackRelay relay(2, 500, kNoCancelling);
+TEST_P(ClientDeparture, KeepsTheCurrentAttemptUntilItsTimeoutIfCancellingIsForbidden) {
+  LoopbackRelay relay(2, 500, kCancellingForbidden);
   TestSocket client = relay.connect_client(kOpenRequest);
   TestSocket upstream = relay.accept_attempt();
 
--- a/tests/proxy/downstream_test.cpp
+++ b/tests/proxy/downstream_test.cpp
@@ -1,4 +1,4 @@
-// What clients send and how they are answered, up to the established session.
+// Client requests and the relay's answers, up to the established session.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -9,7 +9,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(Downstream, AnswersAPingAndReadsAnOpenRequestInPieces) {
+TEST(Downstream, AnswersPingAndReadsAnOpenRequestSentInPieces) {
   LoopbackRelay relay(1);
   TestSocket client = relay.connect_client("PI");
   relay.run_for(20);
@@ -21,7 +21,7 @@
   EXPECT_TRUE(relay.accept_attempt());
 }
 
-TEST(Downstream, ALineThatIsNotUnderstoodEndsThatConnectionOnly) {
+TEST(Downstream, ClosesOnlyTheConnectionThatSentAMalformedLine) {
   LoopbackRelay relay(1);
 
   for (const std::string& line : {std::string("GET / HTTP/1.1\r\n"), std::string("OPEN 1 2 c=none,d=5\r\n"),
@@ -34,8 +34,8 @@
   relay.establish_session("8");
 }
 
-// Whoever is on call reads from the log why clients were rejected.
-TEST(Downstream, TheLogNamesTheReasonOfEachRejection) {
+// Operators need the log to show why clients were rejected.
+TEST(Downstream, LogsTheReasonOfEachRejection) {
   LoopbackRelay relay(1);
   ::testing::internal::CaptureStderr();
 
@@ -64,8 +64,8 @@
     EXPECT_NE(log.find(line), std::string::npos) << line << " in\n" << log;
 }
 
-// Closing with unread bytes would reset the connection, and the client would lose the answer.
-TEST(Downstream, AClientThatSendsWithoutEndStillReceivesItsError) {
+// Closing a socket with unread data resets the connection, and the client would lose the answer.
+TEST(Downstream, DeliversTheErrorToAClientThatKeepsSending) {
   LoopbackRelay relay(1);
   TestSocket client = relay.connect_client("OPEN ");
   const std::string much(100000, 'k');
@@ -83,7 +83,7 @@
   EXPECT_TRUE(relay.run_until([&] { return client.send_some(much) > 0; }));  // it has not been reset
 }
 
-TEST(Downstream, RefusesASessionIdInUseBeforeAnyBackendIsAsked) {
+TEST(Downstream, RejectsADuplicateSessionIdWithoutStartingAnAttempt) {
   LoopbackRelay relay(2);
   auto session = relay.establish_session("77");
 
@@ -96,7 +96,7 @@
   EXPECT_TRUE(relay.run_until([&] { return session.upstream.received().ends_with("x\r\n"); }));
 }
 
-TEST(Downstream, RefusesAClientThatSendsManyRequestsAtOnce) {
+TEST(Downstream, RejectsAClientThatPipelinesRequests) {
   LoopbackRelay relay(1);
   std::string requests;
   for (int i = 0; i < 300; ++i) requests += "OPEN " + std::to_string(i) + " 1 c=talk,d=1200\r\n";
@@ -108,7 +108,7 @@
   EXPECT_FALSE(relay.backends[0].accept());
 }
 
-TEST(Downstream, RefusesAClientThatSendsMoreBeforeItsAnswer) {
+TEST(Downstream, RejectsAClientThatSendsDataBeforeItsAnswer) {
   LoopbackRelay relay(1);
   TestSocket client = relay.connect_client("OPEN 700 1 c=talk,d=1200\r\n");
   TestSocket upstream = relay.accept_attempt();
@@ -119,18 +119,19 @@
   EXPECT_EQ(client.received(), "ERR\r\n");
 }
 
-// Sound clients on poor links write slowly: in a crowd they must not be closed before those that write
-// nothing.
-TEST(Downstream, ASlowWriterOutlastsACrowdThatNeverFinishesItsLine) {
+// Well-behaved clients on poor links send slowly. When descriptors are short, they must not be closed before
+// connections that send nothing.
+TEST(Downstream, KeepsASlowlySendingClientWhenManyConnectionsNeverCompleteARequest) {
   LoopbackRelay relay(1, 60);
   const std::string request = "OPEN 1 1 c=talk,d=1200\r\n";
   TestSocket slow_client = relay.connect_client(request.substr(0, 1));
 
-  std::vector<TestSocket> crowd;
-  for (std::size_t at = 1; at < request.size(); ++at) {
-    for (int i = 0; i < 8; ++i) crowd.push_back(relay.connect_client(i % 2 != 0 ? "OPEN 2 2" : ""));
+  std::vector<TestSocket> incomplete_clients;
+  for (std::size_t position = 1; position < request.size(); ++position) {
+    for (int i = 0; i < 8; ++i)
+      incomplete_clients.push_back(relay.connect_client(i % 2 != 0 ? "OPEN 2 2" : ""));
     relay.run_for(10);
-    slow_client.send(request.substr(at, 1));
+    slow_client.send(request.substr(position, 1));
   }
 
   TestSocket upstream = relay.accept_attempt();
@@ -138,8 +139,8 @@
   EXPECT_TRUE(relay.run_until([&] { return slow_client.received() == "UP r\r\n"; }));
 }
 
-// Its request may be on its way when the relay ends the connection, and would be read by nobody.
-TEST(Downstream, ARestingClientHearsThatItIsEndedSoThatARequestOnItsWayHasAnAnswer) {
+// The client's request may be in flight when the relay closes the connection, and would not be read.
+TEST(Downstream, AnswersBusyToAnIdleClientAtTheRequestTimeout) {
   LoopbackRelay relay(1);
   TestSocket silent = relay.connect_client("");
   TestSocket after_a_ping = relay.connect_client("PING\r\n");
--- a/tests/proxy/invariant_monitor_test.cpp
+++ b/tests/proxy/invariant_monitor_test.cpp
@@ -1,4 +1,4 @@
-// The relay's own account of what it promises: each kind of violation is noticed, and sound sessions are not.
+// The run-time invariant checks report each kind of violation and nothing for a correct session.
 #include "proxy/invariant_monitor.hpp"
 
 #include <gtest/gtest.h>
@@ -10,8 +10,8 @@
 
 using proxy::Invariant;
 
-// A session of a class that must not run twice, and what passes for it on the wire.
-struct WatchedSession {
+// A session of a non-idempotent traffic class and the events that the monitor observes for it.
+struct MonitoredSession {
   net::Log log;
   proxy::InvariantMonitor monitor{log};
   proxy::SessionInvariants invariants{monitor};
@@ -19,7 +19,7 @@
   Session session;
   Backend backend;
 
-  WatchedSession() {
+  MonitoredSession() {
     traffic_class.idempotency = Idempotency::non_idempotent;
     session.traffic_class = &traffic_class;
     session.deadline = 10 * kSecond;
@@ -39,74 +39,74 @@
   }
 };
 
-TEST(InvariantMonitor, FindsNothingWrongWithASecondAttemptAfterARejectedOne) {
-  WatchedSession watched;
+TEST(InvariantMonitor, AcceptsASecondAttemptAfterARejectedOne) {
+  MonitoredSession monitored;
 
-  watched.start_attempt();
-  watched.send_request();
-  watched.invariants.on_request_not_run();
-  watched.invariants.on_attempt_ended();
-  watched.start_attempt();
-  watched.send_request();
-  watched.answer(kSecond, false);
+  monitored.start_attempt();
+  monitored.send_request();
+  monitored.invariants.on_request_not_run();
+  monitored.invariants.on_attempt_ended();
+  monitored.start_attempt();
+  monitored.send_request();
+  monitored.answer(kSecond, false);
 
-  EXPECT_EQ(watched.all_violations(), 0u);
+  EXPECT_EQ(monitored.all_violations(), 0u);
 }
 
-TEST(InvariantMonitor, NoticesASecondRequestAfterOneThatMayHaveRun) {
-  WatchedSession watched;
+TEST(InvariantMonitor, ReportsASecondRequestAfterOneThatMayHaveRun) {
+  MonitoredSession monitored;
 
-  watched.start_attempt();
-  watched.send_request();
-  watched.invariants.on_attempt_ended();
-  watched.start_attempt();
-  watched.send_request();
+  monitored.start_attempt();
+  monitored.send_request();
+  monitored.invariants.on_attempt_ended();
+  monitored.start_attempt();
+  monitored.send_request();
 
-  EXPECT_EQ(watched.violations(Invariant::no_effect_twice), 1u);
+  EXPECT_EQ(monitored.violations(Invariant::no_effect_twice), 1u);
 }
 
-// The second connection never came up: that says nothing of the first.
-TEST(InvariantMonitor, NoticesAnInvitationToRetryThoughTheLastAttemptWasNeverSent) {
-  WatchedSession watched;
+// The second connection was never established, which does not show that the first request was not run.
+TEST(InvariantMonitor, ReportsARetryInvitationAfterARequestThatMayHaveRun) {
+  MonitoredSession monitored;
 
-  watched.start_attempt();
-  watched.send_request();
-  watched.invariants.on_attempt_ended();
-  watched.start_attempt();
-  watched.invariants.on_request_not_run();
-  watched.answer(kSecond, true);
+  monitored.start_attempt();
+  monitored.send_request();
+  monitored.invariants.on_attempt_ended();
+  monitored.start_attempt();
+  monitored.invariants.on_request_not_run();
+  monitored.answer(kSecond, true);
 
-  EXPECT_EQ(watched.violations(Invariant::no_effect_twice), 1u);
+  EXPECT_EQ(monitored.violations(Invariant::no_effect_twice), 1u);
 }
 
-TEST(InvariantMonitor, NoticesTwoAttemptsAtOnce) {
-  WatchedSession watched;
+TEST(InvariantMonitor, ReportsTwoConcurrentAttempts) {
+  MonitoredSession monitored;
 
-  watched.start_attempt();
-  watched.start_attempt();
+  monitored.start_attempt();
+  monitored.start_attempt();
 
-  EXPECT_EQ(watched.violations(Invariant::one_attempt_at_a_time), 1u);
+  EXPECT_EQ(monitored.violations(Invariant::one_attempt_at_a_time), 1u);
 }
 
-TEST(InvariantMonitor, NoticesARequestWithoutAClientOrToABackendThatDrains) {
-  WatchedSession watched;
-  watched.backend.state = EndpointState::draining;
+TEST(InvariantMonitor, ReportsARequestWithoutAClientAndToADrainingBackend) {
+  MonitoredSession monitored;
+  monitored.backend.state = EndpointState::draining;
 
-  watched.start_attempt();
-  watched.send_request(false);
+  monitored.start_attempt();
+  monitored.send_request(false);
 
-  EXPECT_EQ(watched.violations(Invariant::no_request_without_client), 1u);
-  EXPECT_EQ(watched.violations(Invariant::no_request_to_unready_backend), 1u);
+  EXPECT_EQ(monitored.violations(Invariant::no_request_without_client), 1u);
+  EXPECT_EQ(monitored.violations(Invariant::no_request_to_unready_backend), 1u);
 }
 
-TEST(InvariantMonitor, NoticesASecondAnswerAndALateOne) {
-  WatchedSession watched;
+TEST(InvariantMonitor, ReportsASecondAnswerAndAnAnswerAfterTheDeadline) {
+  MonitoredSession monitored;
 
-  watched.answer(10 * kSecond, true);
-  watched.answer(11 * kSecond, true);
+  monitored.answer(10 * kSecond, true);
+  monitored.answer(11 * kSecond, true);
 
-  EXPECT_EQ(watched.violations(Invariant::one_final_answer), 1u);
-  EXPECT_EQ(watched.violations(Invariant::answer_in_time), 1u);
+  EXPECT_EQ(monitored.violations(Invariant::one_final_answer), 1u);
+  EXPECT_EQ(monitored.violations(Invariant::answer_in_time), 1u);
 }
 
 }  // namespace
--- a/tests/proxy/proxy_session_test.cpp
+++ b/tests/proxy/proxy_session_test.cpp
@@ -1,4 +1,4 @@
-// An established session: lines both ways, each side's end, migration, slow readers.
+// Established sessions: data in both directions, closing by either side, migration and slow readers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(ProxySession, PassesLinesBothWaysAndTheOpenRequestWithItsWaitChanged) {
+TEST(ProxySession, ForwardsLinesInBothDirectionsAndRewritesTheClientTimeout) {
   LoopbackRelay relay(1);
   TestSocket client = relay.connect_client("OPEN 9b1f 7f3a c=talk,d=1200,g=5c,x=new\r\n");
   TestSocket upstream = relay.accept_attempt();
@@ -29,7 +29,7 @@
   EXPECT_EQ(client.received(), "UP 77 some receipt\r\nLOAD 5\r\nBYE\r\n");
 }
 
-TEST(ProxySession, AClientThatFinishesSendingStillReceivesItsBackendsLastLines) {
+TEST(ProxySession, ForwardsTheBackendsLastLinesAfterTheClientClosesItsSendingSide) {
   LoopbackRelay relay(1);
   auto session = relay.establish_session("1");
 
@@ -42,7 +42,7 @@
   EXPECT_EQ(session.client.received(), "UP r\r\nBYE\r\n");
 }
 
-TEST(ProxySession, AResetOfTheClientEndsItsBackendsConnection) {
+TEST(ProxySession, ClosesTheBackendConnectionWhenTheClientResets) {
   LoopbackRelay relay(1);
   auto session = relay.establish_session("2");
 
@@ -51,7 +51,7 @@
   EXPECT_TRUE(relay.run_until([&] { return session.upstream.is_ended_by_peer(); }));
 }
 
-TEST(ProxySession, AResetOfTheBackendEndsItsClientsConnection) {
+TEST(ProxySession, ClosesTheClientConnectionWhenTheBackendResets) {
   LoopbackRelay relay(1);
   auto session = relay.establish_session("3");
 
@@ -60,8 +60,9 @@
   EXPECT_TRUE(relay.run_until([&] { return session.client.is_ended_by_peer(); }, 1000));
 }
 
-// A backend's last lines and its end in one read; what looks like a second answer is a line like another.
-TEST(ProxySession, LastLinesReadTogetherWithTheEndReachTheClient) {
+// The last lines and the end of the stream arrive in one read. On an established session, UP is an ordinary
+// line.
+TEST(ProxySession, ForwardsLastLinesReadTogetherWithTheEndOfStream) {
   LoopbackRelay relay(1);
   auto session = relay.establish_session("1");
 
@@ -72,7 +73,7 @@
   EXPECT_EQ(session.client.received(), "UP r\r\nUP again\r\nline\r\nBYE\r\n");
 }
 
-TEST(ProxySession, MigrationWaitsForTheEndOfTheLine) {
+TEST(ProxySession, DelaysMigrationUntilTheBackendsLineIsComplete) {
   LoopbackRelay relay(2);
   auto session = relay.establish_session("1");
   const std::size_t index = relay.backend_index(session.upstream);
@@ -88,19 +89,19 @@
   EXPECT_EQ(session.client.received(), "UP r\r\nhalf a line\r\nMOVE\r\n");
 }
 
-TEST(ProxySession, AClientWhoseLinesBringNothingBackIsMigratedInTime) {
+TEST(ProxySession, MigratesAClientWhoseLinesStayUnanswered) {
   LoopbackRelay relay(2);
   auto session = relay.establish_session("1");
 
   session.client.send("anyone?\r\n");
 
-  // Within two attempt objectives and the interval at which sessions are looked at.
+  // Within two attempt latency objectives plus the interval of the unresponsive session checks.
   EXPECT_TRUE(relay.run_until([&] { return session.client.is_ended_by_peer(); }, 1100));
   EXPECT_EQ(session.client.received(), "UP r\r\nMOVE\r\n");
 }
 
-// Where backends report message latency and not their load, the figure of a LOAD line is milliseconds.
-TEST(ProxySession, ReportedMessageLatencyPastTheObjectiveMigratesSomeClients) {
+// Where backends report message latency instead of load, the value of a LOAD line is in milliseconds.
+TEST(ProxySession, MigratesSomeClientsWhenReportedMessageLatencyExceedsTheObjective) {
   LoopbackRelay relay(1, 500, R"(,"domain":{"tells_load":false,"tells_delay":true})");
   std::vector<EstablishedSession> sessions;
   for (int i = 0; i < 8; ++i) sessions.push_back(relay.establish_session(std::to_string(i)));
@@ -113,8 +114,8 @@
   }));
 }
 
-// A client that reads nothing must neither fill the relay's memory nor hold others up.
-TEST(ProxySession, ASlowReaderHoldsItsOwnBackendBackAndNobodyElse) {
+// A client that does not read must neither fill the relay's memory nor delay other sessions.
+TEST(ProxySession, AppliesBackpressureOnlyToTheBackendOfASlowReader) {
   LoopbackRelay relay(1);
   TestSocket client = TestSocket::connected_to(relay.port, 4096);
   client.send("OPEN 1 1 c=talk,d=1200\r\n");
@@ -129,13 +130,13 @@
       },
       50);
 
-  const auto is_full = [&] {  // the kernel's buffers and the relay's share of them
+  const auto are_buffers_full = [&] {  // the kernel's and the relay's
     std::size_t sent = 0;
     for (int i = 0; i < 100; ++i) sent += upstream.send_some(line);
     taken += sent;
     return sent == 0;
   };
-  EXPECT_TRUE(relay.run_until(is_full, 5000));
+  EXPECT_TRUE(relay.run_until(are_buffers_full, 5000));
 
   relay.establish_session("2");
   EXPECT_TRUE(relay.run_until([&] { return client.received().size() >= taken + 6; }, 5000));
--- a/tests/proxy/restored_session_test.cpp
+++ b/tests/proxy/restored_session_test.cpp
@@ -1,4 +1,4 @@
-// Clients that name the backend on which their session stood before a restart (`at=`).
+// Clients whose open request names the backend that held their session before a restart (`at=`).
 #include <gtest/gtest.h>
 
 #include <cerrno>
@@ -13,17 +13,17 @@
 namespace cherryrail::testing {
 namespace {
 
-constexpr const char* kRequestAtTwo = "OPEN 1 5 c=talk,d=20000,at=s-2\r\n";
+constexpr const char* kRequestForBackendTwo = "OPEN 1 5 c=talk,d=20000,at=s-2\r\n";
 
-// A client that is connected before system calls begin to fail: the test's own calls are among those.
-TestSocket connect_first(LoopbackRelay& relay) {
+// Connects a client before the test injects faults, because the faults also hit the test's own system calls.
+TestSocket connect_before_faults(LoopbackRelay& relay) {
   relay.accept_watch();
   TestSocket client = relay.connect_client("");
   relay.run_for(10);
   return client;
 }
 
-// The relay's next call of this kind is the one for the attempt.
+// Fails the relay's next call of this kind, which is the one for the attempt.
 void fail_first_call(CallFaults& faults, int error, LoopbackRelay& relay) {
   faults.error_number = error;
   faults.remaining = 1;
@@ -37,7 +37,7 @@
   backend = TestSocket::listening(port);
 }
 
-void expect_session_at(std::size_t index, LoopbackRelay& relay, TestSocket& client) {
+void expect_session_at_backend(std::size_t index, LoopbackRelay& relay, TestSocket& client) {
   TestSocket upstream = relay.accept_attempt();
   ASSERT_TRUE(upstream);
   EXPECT_EQ(relay.backend_index(upstream), index);
@@ -60,11 +60,11 @@
   EXPECT_TRUE(relay.run_until([&] { return client.received() == "UP 9\r\n"; }));
 }
 
-TEST(RestoredSession, IsRejectedAtOnceAndSentNowhereOnceItsBackendDrains) {
+TEST(RestoredSession, IsRejectedAtOnceIfItsBackendIsDraining) {
   LoopbackRelay relay(3);
   relay.publish_endpoints(endpoint_changes(5, {relay.endpoint(2, "leaving")}));
   relay.run_for(20);
-  TestSocket client = relay.connect_client(kRequestAtTwo);
+  TestSocket client = relay.connect_client(kRequestForBackendTwo);
 
   EXPECT_TRUE(relay.run_until([&] { return client.received() == "BUSY\r\n"; }, 1000));
 
@@ -72,7 +72,7 @@
   EXPECT_FALSE(relay.has_unaccepted_attempt());
 }
 
-TEST(RestoredSession, IsRejectedAtOnceAndSentNowhereOnceAWholeListLeavesItsBackendOut) {
+TEST(RestoredSession, IsRejectedAtOnceIfAFullEndpointListOmitsItsBackend) {
   LoopbackRelay relay(3);
   TestSocket client = relay.connect_client("OPEN 1 5 c=talk,d=20000,at=s-9\r\n");
   relay.run_for(20);
@@ -83,7 +83,7 @@
   EXPECT_FALSE(relay.has_unaccepted_attempt());
 }
 
-TEST(RestoredSession, IsRejectedInTimeWhereItsBackendCannotBeReached) {
+TEST(RestoredSession, IsRejectedInTimeIfItsBackendIsUnreachable) {
   LoopbackRelay relay(3);
   relay.backends[2].close();
   TestSocket client = relay.connect_client("OPEN 1 5 c=talk,d=600,at=s-2\r\n");
@@ -94,7 +94,7 @@
   EXPECT_FALSE(relay.backends[1].accept());
 }
 
-TEST(RestoredSession, IsRejectedInTimeWhereNoListNamesItsBackend) {
+TEST(RestoredSession, IsRejectedInTimeIfItsBackendIsNeverListed) {
   LoopbackRelay relay(3);
   TestSocket client = relay.connect_client("OPEN 1 5 c=talk,d=600,at=s-9\r\n");
 
@@ -103,11 +103,11 @@
   EXPECT_FALSE(relay.has_unaccepted_attempt());
 }
 
-TEST(RestoredSession, FailsWhereItMayHaveRunAndMustNotRunTwice) {
+TEST(RestoredSession, FailsIfANonIdempotentRequestMayHaveRun) {
   LoopbackRelay relay(3, 500,
                       R"(,"profiles":[{"name":"talk","setup_goal":300.0,"client_timeout":1200.0,"payoff":1.0,
       "semantics":"at_most_once"}])");
-  TestSocket client = relay.connect_client(kRequestAtTwo);
+  TestSocket client = relay.connect_client(kRequestForBackendTwo);
 
   relay.accept_attempt().reset();
 
@@ -115,8 +115,8 @@
   EXPECT_FALSE(relay.has_unaccepted_attempt());
 }
 
-// Every way in which an attempt at its backend may fail without harm, once.
-TEST(RestoredSession, IsTriedAgainAtItsBackendAndGoesToNoOther) {
+// Each kind of attempt failure after which a retry is safe, injected once.
+TEST(RestoredSession, IsRetriedOnlyAtItsOwnBackend) {
   const std::vector<std::function<void(LoopbackRelay&)>> failures = {
       [](LoopbackRelay& relay) { fail_first_call(fault_plan().connect, ECONNREFUSED, relay); },
       [](LoopbackRelay& relay) { fail_first_call(fault_plan().connect, ETIMEDOUT, relay); },
@@ -130,16 +130,16 @@
     SCOPED_TRACE(i);
     const FaultPlanScope scope;
     LoopbackRelay relay(3);
-    TestSocket client = connect_first(relay);
+    TestSocket client = connect_before_faults(relay);
 
-    client.send(kRequestAtTwo);
+    client.send(kRequestForBackendTwo);
     failures[i](relay);
 
-    expect_session_at(2, relay, client);
+    expect_session_at_backend(2, relay, client);
   }
 }
 
-TEST(RestoredSession, WaitsForTheListThatNamesItsBackend) {
+TEST(RestoredSession, WaitsForAnEndpointListWithItsBackend) {
   LoopbackRelay relay(3);
   TestSocket client = relay.connect_client("OPEN 1 5 c=talk,d=20000,at=s-9\r\n");
   relay.run_for(150);
@@ -149,11 +149,11 @@
   renamed.replace(renamed.find("s-2"), 3, "s-9");
   relay.publish_endpoints(endpoint_changes(5, {renamed}));
 
-  expect_session_at(2, relay, client);
+  expect_session_at_backend(2, relay, client);
 }
 
-// The answer must reach the client before the client gives up.
-TEST(RestoredSession, ItsAttemptEndsBeforeItsClientsTimeout) {
+// The answer must reach the client before the client's timeout.
+TEST(RestoredSession, ItsAttemptTimeoutIsShorterThanTheClientTimeout) {
   LoopbackRelay relay(1);
   const TestSocket client = relay.connect_client("OPEN 1 5 c=talk,d=500,at=s-0\r\n");
 
--- a/tests/proxy/upstream_test.cpp
+++ b/tests/proxy/upstream_test.cpp
@@ -1,4 +1,4 @@
-// Attempts at backends: what comes of each answer, failure and silence.
+// Attempts at backends: the outcome of each answer, failure and timeout.
 #include <gtest/gtest.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -13,15 +13,15 @@
 namespace {
 
 constexpr const char* kOpenRequest = "OPEN 9b1f 7f3a c=talk,d=1200\r\n";
-constexpr const char* kPatientClass =
+constexpr const char* kLongTimeoutClass =
     R"(,"permissions":{"max_setups":3,"may_cancel":true,"connect_timeout":4000},"profiles":[{"name":"talk",
     "setup_goal":4000.0,"client_timeout":8000.0,"payoff":1.0,"semantics":"idempotent"}])";
 constexpr const char* kNonIdempotentClass =
     R"(,"profiles":[{"name":"talk","setup_goal":100.0,"client_timeout":1200.0,"payoff":1.0,
     "semantics":"at_most_once"}])";
 
-// Backends that refuse, answer BUSY or break off: three attempts, then one answer.
-TEST(Upstream, TheClientIsRejectedOnceAfterTheLastAttempt) {
+// Backends refuse the connection, answer BUSY or close: at most three attempts, then one answer.
+TEST(Upstream, RejectsTheClientOnceAfterTheLastAttempt) {
   LoopbackRelay relay(4);
   relay.backends[2].close();
   TestSocket client = relay.connect_client(kOpenRequest);
@@ -43,7 +43,7 @@
   EXPECT_LE(attempts, 3);
 }
 
-TEST(Upstream, ABackendThatDoesNotAnswerIsGivenUpForAnotherInTime) {
+TEST(Upstream, RetriesAtAnotherBackendWhenTheFirstDoesNotAnswer) {
   LoopbackRelay relay(2);
   TestSocket client = relay.connect_client(kOpenRequest);
   TestSocket silent = relay.accept_attempt();
@@ -55,8 +55,8 @@
   EXPECT_TRUE(relay.run_until([&] { return client.received() == "UP 2\r\n"; }));
 }
 
-// A relay that was held up reads what has come meanwhile before it looks at the time.
-TEST(Upstream, AnAnswerThatCameDuringAStallIsNoTimeout) {
+// After a stall, the relay reads pending input before it checks timeouts.
+TEST(Upstream, AcceptsAnAnswerThatArrivedDuringAStall) {
   LoopbackRelay relay(1);
   TestSocket client = relay.connect_client(kOpenRequest);
   TestSocket upstream = relay.accept_attempt();
@@ -67,8 +67,8 @@
   EXPECT_TRUE(relay.run_until([&] { return client.received() == "UP 3\r\n"; }));
 }
 
-// There is one attempt at a time, and none for a client that has left.
-TEST(Upstream, AClientThatFinishesSendingEndsItsAttempt) {
+// There is one attempt at a time, and no attempt for a client that has left.
+TEST(Upstream, EndsTheAttemptWhenTheClientClosesItsSendingSide) {
   LoopbackRelay relay(2);
   TestSocket client = relay.connect_client(kOpenRequest);
   TestSocket upstream = relay.accept_attempt();
@@ -76,17 +76,17 @@
   client.finish_sending();
 
   EXPECT_TRUE(relay.run_until([&] { return client.is_ended_by_peer() && upstream.is_ended_by_peer(); }));
-  EXPECT_EQ(client.received(), "ERR\r\n");  // it may still read
+  EXPECT_EQ(client.received(), "ERR\r\n");  // the client may still read
   for (const TestSocket& backend : relay.backends) EXPECT_FALSE(backend.accept());
 }
 
-// The full backlog of the first backend makes its connection come up late.
-TEST(Upstream, ABackendThatDrainsWhileItsConnectionComesUpGetsNoAttemptOnIt) {
-  LoopbackRelay relay(2, 500, kPatientClass);
+// The first backend's full backlog delays the connection.
+TEST(Upstream, SendsNoRequestToABackendThatStartsDrainingDuringTheConnect) {
+  LoopbackRelay relay(2, 500, kLongTimeoutClass);
   relay.publish_endpoints(endpoint_snapshot(5, {relay.endpoint(0, "active")}));
   relay.run_for(20);
   ASSERT_EQ(listen(relay.backends[0].fd(), 0), 0);
-  const TestSocket fills_the_backlog = TestSocket::connected_to(relay.backends[0].port());
+  const TestSocket backlog_filler = TestSocket::connected_to(relay.backends[0].port());
   TestSocket client = relay.connect_client("OPEN 1 1 c=talk,d=8000\r\n");
   relay.run_for(100);
 
@@ -94,15 +94,15 @@
   relay.run_for(100);
   ASSERT_TRUE(relay.backends[0].accept());
 
-  TestSocket late = relay.accept_connection();  // the kernel tries again after a second
-  relay.expect_ended_unused(late);
+  TestSocket delayed = relay.accept_connection();  // the kernel retransmits the SYN after a second
+  relay.expect_ended_unused(delayed);
   TestSocket upstream = relay.accept_attempt();
   EXPECT_EQ(relay.backend_index(upstream), 1u);
   upstream.send("UP 1\r\n");
   EXPECT_TRUE(relay.run_until([&] { return client.received() == "UP 1\r\n"; }));
 }
 
-TEST(Upstream, AMalformedAnswerFailsItsAttemptAndTheNextBackendServesTheClient) {
+TEST(Upstream, RetriesAtTheNextBackendAfterAMalformedAnswer) {
   for (const std::string& malformed : {std::string("\r\n"), std::string("OK 1\r\n"), std::string(5000, 'x'),
                                        std::string("BUSY\r\nUP late\r\n"), std::string("ERR\r\nBUSY\r\n")}) {
     LoopbackRelay relay(2);
@@ -119,7 +119,7 @@
   }
 }
 
-TEST(Upstream, AnAnswerBeforeTheRequestEstablishesTheSession) {
+TEST(Upstream, AcceptsAnAnswerThatArrivesBeforeTheRequestIsSent) {
   LoopbackRelay relay(1);
   TestSocket client = relay.connect_client(kOpenRequest);
   TestSocket upstream = relay.accept_connection();
@@ -131,7 +131,7 @@
   EXPECT_TRUE(relay.run_until([&] { return upstream.received().ends_with("\r\nx\r\n"); }));
 }
 
-TEST(Upstream, ANonIdempotentSessionThatMayHaveRunIsNotRetriedHoweverItsAttemptEnds) {
+TEST(Upstream, DoesNotRetryANonIdempotentSessionThatMayHaveRun) {
   for (const std::string& ending : {std::string("ERR\r\n"), std::string("\r\n"), std::string("reset"),
                                     std::string("closed"), std::string("nothing")}) {
     LoopbackRelay relay(2, 500, kNonIdempotentClass);
@@ -151,8 +151,8 @@
   }
 }
 
-// No port left, no buffer left: that speaks against no backend, and the attempt never began.
-TEST(Upstream, AConnectionThatThisMachineCannotMakeIsNoFailureOfTheBackend) {
+// A lack of local ports or buffers is no failure of the backend, and the attempt never started.
+TEST(Upstream, DoesNotRecordALocalConnectFailureAsABackendFailure) {
   for (const int error : {EADDRNOTAVAIL, ENOBUFS}) {
     const FaultPlanScope scope;
     LoopbackRelay relay(1);
@@ -174,18 +174,18 @@
   }
 }
 
-// On a link that is cut, the system would go on sending the request after a plain close, and the backend
-// would have it once the link is back: perhaps when its deduplication window has passed.
-TEST(Upstream, AnAttemptThatIsGivenUpLeavesNothingBehindToBeSentLater) {
+// On an interrupted link, the kernel would keep retransmitting the request after an orderly close, and the
+// backend might receive it after its deduplication window has passed.
+TEST(Upstream, ResetsTheConnectionOfATimedOutAttempt) {
   LoopbackRelay relay(2);
   TestSocket client = relay.connect_client("OPEN 1 1 c=talk,d=1200\r\n");
-  TestSocket hanging = relay.accept_attempt();
+  TestSocket unresponsive = relay.accept_attempt();
 
   TestSocket next = relay.accept_attempt();
   next.send("UP r\r\n");
   EXPECT_TRUE(relay.run_until([&] { return client.received() == "UP r\r\n"; }));
 
-  EXPECT_TRUE(hanging.is_reset_by_peer());
+  EXPECT_TRUE(unresponsive.is_reset_by_peer());
 }
 
 }  // namespace
