--- a/src/proxy/backend_connection.hpp
+++ b/src/proxy/backend_connection.hpp
@@ -29,6 +29,7 @@
   ~BackendConnectionOwner() = default;
 };
 
+// Owned by a BackendConnectionOwner, and used by its session as an UpstreamConnection.
 class BackendConnection final : public net::ConnectionHandler,
                                 public UpstreamConnection,
                                 public std::enable_shared_from_this<BackendConnection> {
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -34,6 +34,7 @@
   ~ClientConnectionOwner() = default;
 };
 
+// Owned by a ClientConnectionOwner, and used by its session as a DownstreamConnection.
 class ClientConnection final : public net::ConnectionHandler, public DownstreamConnection {
  public:
   ClientConnection(net::EventLoop& event_loop, ClientConnectionOwner& owner, std::uint64_t number)
@@ -53,6 +54,7 @@
 
   // Hot restart, as in ProxySession, but also for a client that has no session yet.
   std::optional<OutgoingHandover> prepare_handover() const;
+  // Closes this process's sockets after the successor has received the message.
   void finish_handover();
 
   bool has_session() const { return session_ && !is_closed_; }
--- a/src/proxy/connection_result.hpp
+++ b/src/proxy/connection_result.hpp
@@ -49,6 +49,7 @@
   handed_over,
 };
 
+// The connection's result for an attempt's result, where no local failure or abandonment determines it.
 UpstreamResult to_upstream_result(AttemptResult result);
 
 using DownstreamCounts = ResultCounts<DownstreamResult, DownstreamResult::rejected_no_backend>;
--- a/src/proxy/downstream_connection.hpp
+++ b/src/proxy/downstream_connection.hpp
@@ -8,6 +8,7 @@
 
 namespace cherryrail::proxy {
 
+// Implemented by ClientConnection. Each call that closes the connection also unregisters it from the session.
 class DownstreamConnection {
  public:
   DownstreamConnection() = default;
@@ -20,6 +21,7 @@
   virtual void finish(std::string_view last_line, DownstreamResult result) = 0;
   // Closes with a TCP reset, used after the backend's connection broke.
   virtual void reset(DownstreamResult result) = 0;
+  // Pauses or resumes reading from the client.
   virtual void set_reading(bool is_enabled) = 0;
   // Reads pending data from the socket at once, to find out whether the client has left.
   virtual void read_now() = 0;
--- a/src/proxy/downstream_listener.hpp
+++ b/src/proxy/downstream_listener.hpp
@@ -41,6 +41,7 @@
 
   std::size_t session_count() const;  // established or waiting for a backend
   bool is_empty() const { return clients_.empty(); }
+  // Results of client connections since the process started.
   const DownstreamCounts& result_counts() const { return result_counts_; }
   bool has_partial_requests() const;  // a client has sent part of its open request
 
--- a/src/proxy/invariant_monitor.hpp
+++ b/src/proxy/invariant_monitor.hpp
@@ -13,6 +13,7 @@
 
 namespace cherryrail::proxy {
 
+// The guarantees that are checked.
 enum class Invariant : std::uint8_t {
   one_final_answer,
   answer_in_time,
@@ -31,6 +32,7 @@
  public:
   explicit InvariantMonitor(net::Log& log) : log_(log) {}
 
+  // Counts and logs a violation unless `holds`.
   void expect(bool holds, Invariant invariant, std::string_view session_id);
   std::uint64_t violations(Invariant invariant) const {
     return violations_[static_cast<std::size_t>(invariant)];
--- a/src/proxy/proxy_backend.hpp
+++ b/src/proxy/proxy_backend.hpp
@@ -14,6 +14,7 @@
   net::Address address;
 };
 
+// Downcasts a backend of this process's balancer.
 inline const ProxyBackend& as_proxy_backend(const Backend& backend) {
   return static_cast<const ProxyBackend&>(backend);
 }
--- a/src/proxy/proxy_session.hpp
+++ b/src/proxy/proxy_session.hpp
@@ -33,6 +33,7 @@
   ProxySession& operator=(const ProxySession&) = delete;
   ~ProxySession() = default;
 
+  // The client's open request, as received.
   const protocol::OpenRequest& request() const { return request_; }
   std::string_view id() const { return request_.id(); }
 
@@ -44,7 +45,8 @@
   void set_downstream_reading(bool is_enabled);
   void set_upstream_reading(bool is_enabled);
 
-  // Called by the downstream connection.
+  // Called by the downstream connection. The first two report data and the end of the stream; the last
+  // reports data that arrived before the open request was answered, which fails the session.
   void on_downstream_data(std::string_view bytes);
   void on_downstream_closed(CloseKind kind);
   void on_early_data();
@@ -55,7 +57,9 @@
   // Called by the upstream connection. `line` is the backend's reply that establishes the session; `duration`
   // is the time since the attempt started.
   void on_upstream_established(std::string_view line, Micros duration);
+  // Data of an established session, forwarded unchanged.
   void on_upstream_data(std::string_view bytes);
+  // The attempt or the established session has ended. `last_line` is forwarded to the client, if not empty.
   void on_upstream_closed(CloseKind kind, const AttemptOutcome& outcome, const LoadReport& report,
                           std::string_view last_line);
 
@@ -64,9 +68,9 @@
 
   // Called by the proxy on behalf of the balancer.
   void reject(Micros retry_after);  // 0: the answer to the client states no retry delay
-  void fail();
-  void abandon_attempt();
-  void migrate();
+  void fail();                      // answers the client ERR
+  void abandon_attempt();           // reports the attempt as cancelled
+  void migrate();                   // sends MOVE once the backend's current line is complete, then closes
 
   // Process shutdown: migrates an established session; answers the client of a waiting one at once.
   void shut_down();
@@ -80,6 +84,7 @@
   // unanswered line, 0 if there is none.
   void resume(const std::shared_ptr<Backend>& serving_backend, Micros waited);
 
+  // Whether the client has closed its sending side or its connection.
   bool has_client_left() const { return has_client_left_; }
   // How long the client's first unanswered line has waited for any data from the backend; 0 if none waits.
   Micros time_unanswered(Micros now) const;
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -6,6 +6,7 @@
 
 namespace cherryrail::proxy {
 
+// Implemented by BackendConnection.
 class UpstreamConnection {
  public:
   UpstreamConnection() = default;
@@ -19,6 +20,7 @@
   // Closes the connection; the session receives no further calls from it.
   virtual void abandon() = 0;
   virtual void reset() = 0;  // like abandon(), but closes with a TCP reset
+  // Pauses or resumes reading from the backend.
   virtual void set_reading(bool is_enabled) = 0;
   // As in DownstreamConnection.
   virtual std::optional<int> transferable_descriptor() const = 0;
--- a/src/proxy/upstream_connector.hpp
+++ b/src/proxy/upstream_connector.hpp
@@ -32,6 +32,7 @@
   void add_established(const std::shared_ptr<ProxySession>& session, net::SocketPtr socket);
   // Calls `visit` for each session whose client has waited at least `min_wait` for any data from the backend.
   void for_each_unanswered(Micros min_wait, const std::function<void(ProxySession&)>& visit);
+  // Results of attempts and established sessions since the process started.
   const UpstreamCounts& result_counts() const { return result_counts_; }
 
  private:
