--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -18,7 +18,7 @@
   if (fleet_.has_restarted(*backend, started_at)) forget_failures(*backend);
   const Micros now = actions_.now();
   const Micros local_start = local_start_time(started_at, actions_.wall_clock_step(), now);
-  const BackendStart start{started_at, local_start_time_of_news(local_start, current_until, now)};
+  const BackendStart start{started_at, validated_start_time(local_start, current_until, now)};
   fleet_.record_endpoint(backend, state, size, start, now);
   update_state(*backend);
   fleet_.erase_if_gone(backend);
--- a/src/balancer/start_time.cpp
+++ b/src/balancer/start_time.cpp
@@ -23,7 +23,7 @@
   return latest > 0 ? latest : now;
 }
 
-Micros local_start_time_of_news(Micros local_start, Micros current_until, Micros now) {
+Micros validated_start_time(Micros local_start, Micros current_until, Micros now) {
   const bool is_impossible =
       local_start > 0 && current_until > 0 && local_start < current_until - kLongestListDelay;
   return is_impossible ? now : local_start;
--- a/src/balancer/start_time.hpp
+++ b/src/balancer/start_time.hpp
@@ -17,6 +17,6 @@
 // The same for a start that is news. `current_until` is when this process last knew that its endpoint list
 // was current, 0 if it never did: a start that was not on that list cannot lie far before. If it seems to,
 // the wall clock was wrong already when this process started, and the backend counts as started now.
-Micros local_start_time_of_news(Micros local_start, Micros current_until, Micros now);
+Micros validated_start_time(Micros local_start, Micros current_until, Micros now);
 
 }  // namespace cherryrail
--- a/tests/balancer/start_time_test.cpp
+++ b/tests/balancer/start_time_test.cpp
@@ -35,14 +35,14 @@
 }
 
 TEST(StartTime, OfNewsThatIsOlderThanAnyListIsLateIsNow) {
-  EXPECT_EQ(local_start_time_of_news(kNow - kHour, kNow - 2 * kSecond, kNow), kNow);
-  EXPECT_EQ(local_start_time_of_news(kNow - 9 * kSecond, kNow - 2 * kSecond, kNow), kNow - 9 * kSecond);
+  EXPECT_EQ(validated_start_time(kNow - kHour, kNow - 2 * kSecond, kNow), kNow);
+  EXPECT_EQ(validated_start_time(kNow - 9 * kSecond, kNow - 2 * kSecond, kNow), kNow - 9 * kSecond);
 }
 
 TEST(StartTime, OfNewsAfterALongOutageOrAtTheStartIsWhatItSeems) {
-  EXPECT_EQ(local_start_time_of_news(kNow - 60 * kSecond, kNow - 70 * kSecond, kNow), kNow - 60 * kSecond);
-  EXPECT_EQ(local_start_time_of_news(kNow - kHour, 0, kNow), kNow - kHour);
-  EXPECT_EQ(local_start_time_of_news(0, kNow - kSecond, kNow), 0);
+  EXPECT_EQ(validated_start_time(kNow - 60 * kSecond, kNow - 70 * kSecond, kNow), kNow - 60 * kSecond);
+  EXPECT_EQ(validated_start_time(kNow - kHour, 0, kNow), kNow - kHour);
+  EXPECT_EQ(validated_start_time(0, kNow - kSecond, kNow), 0);
 }
 
 }  // namespace
