--- a/src/balancer/backend.cpp
+++ b/src/balancer/backend.cpp
@@ -8,7 +8,7 @@
 
 double RendezvousScore::rank() const { return -std::log(draw) / weight; }
 
-double agreed_order(const Session& session, const Backend& backend) {
+double capacity_order(const Session& session, const Backend& backend) {
   return uniform_draw(mix_hash(session.hash_key), backend.name_hash);
 }
 
--- a/src/balancer/backend.hpp
+++ b/src/balancer/backend.hpp
@@ -1,5 +1,5 @@
-// A backend as the balancer sees it: what discovery says of it, the sessions it holds, and the state that
-// each mechanism keeps of it.
+// A backend as the balancer sees it: its description from discovery, the sessions it holds, and the state
+// that each load balancing mechanism keeps for it.
 #pragma once
 
 #include <cstdint>
@@ -15,33 +15,33 @@
 
 namespace cherryrail {
 
-// Its place in the rendezvous order for the session that is being placed.
+// A backend's score in weighted rendezvous hashing, for the session that is being placed.
 struct RendezvousScore {
   double draw = 0;
   double weight = 1;
 
-  // The lower the better: weights shift shares as the logarithmic method of weighted rendezvous hashing does.
+  // Lower is better. Uses the logarithmic method of weighted rendezvous hashing.
   double rank() const;
-  // Never over rank(), and cheaper: the logarithm is taken only where this does not settle the order.
+  // Never above rank(), and cheaper: avoids the logarithm where this bound already decides the order.
   double rank_lower_bound() const { return (1 - draw) / weight; }
 };
 
 struct Backend : std::enable_shared_from_this<Backend> {
   // Set by the caller before the first Balancer::update_endpoint.
-  std::uint64_t name = 0;  // the same at every relay; hashed, never ordered by
+  std::uint64_t name = 0;  // the same at every relay; hashed only, its order has no meaning
   unsigned zone = 0;
   unsigned cell = 0;
-  bool disabled_by_operator = false;  // from then on through Balancer::set_disabled
+  bool disabled_by_operator = false;  // initial value; changed later by Balancer::set_disabled
 
-  // Kept by the balancer, from what discovery and operators say.
-  EndpointState state = EndpointState::ready;  // in force: a disabled backend counts as draining
+  // Set by the balancer, from discovery and operators' actions.
+  EndpointState state = EndpointState::ready;  // effective state: a disabled backend is draining
   EndpointState reported_state = EndpointState::ready;
   double size = 1;                  // capacity relative to other backends
-  double reported_utilization = 0;  // by its latest load report; 0: none yet
+  double reported_utilization = 0;  // from the latest load report; 0: none yet
   Micros reported_started_at = 0;
   Micros disabled_at = 0;
 
-  // Each mechanism's own. What every placement reads stands first.
+  // State of the separate mechanisms. Fields read by every placement come first.
   std::uint64_t name_hash = 0;
   RendezvousScore score;
   SlowStartStatus slow_start;
@@ -52,8 +52,8 @@
   OutlierStatus outlier;
 };
 
-// The place of the session's group in the order in which this backend's capacity is given out, from 0 (first)
-// to 1; the same at every relay.
-double agreed_order(const Session& session, const Backend& backend);
+// The position of the session's group in the order in which this backend's capacity is assigned, from 0
+// (first) to 1 (last); the same at every relay.
+double capacity_order(const Session& session, const Backend& backend);
 
 }  // namespace cherryrail
--- a/src/balancer/backend_status.cpp
+++ b/src/balancer/backend_status.cpp
@@ -1,4 +1,4 @@
-// The small state changes that several mechanisms share.
+// State changes of the latency, slow-start and outlier status of a backend.
 #include <algorithm>
 
 #include "balancer/latency_status.hpp"
@@ -8,14 +8,14 @@
 namespace cherryrail {
 namespace {
 
-constexpr Micros kShortestPenalty = 3 * kSecond;
-constexpr Micros kLongestPenalty = 24 * kSecond;
+constexpr Micros kMinPenaltyDuration = 3 * kSecond;
+constexpr Micros kMaxPenaltyDuration = 24 * kSecond;
 
 }  // namespace
 
 void LatencyPenalty::impose(Micros latency, Micros now) {
   if (!is_active(now)) {
-    duration_ = ended_recently(now) ? std::min(2 * duration_, kLongestPenalty) : kShortestPenalty;
+    duration_ = ended_recently(now) ? std::min(2 * duration_, kMaxPenaltyDuration) : kMinPenaltyDuration;
   }
   latency_ = latency;
   until_ = now + duration_;
@@ -27,7 +27,7 @@
 }
 
 void LatencyStatus::record(Micros latency, bool is_similar, Micros now) {
-  similar_in_a_row_ = is_similar ? similar_in_a_row_ + 1 : 0;
+  consecutive_similar_reports_ = is_similar ? consecutive_similar_reports_ + 1 : 0;
   reported_latency_ = latency;
   reported_at_ = now;
 }
--- a/src/balancer/capacity.hpp
+++ b/src/balancer/capacity.hpp
@@ -1,4 +1,4 @@
-// Learns from overload how much load this relay may put on each backend.
+// Limits the load that this relay puts on each backend, based on observed overload.
 #pragma once
 
 #include <string>
@@ -11,61 +11,67 @@
 
 namespace cherryrail {
 
-// What an overloaded backend drops lands on its neighbours, until all drop. So overload reduces a backend's
-// capacity limit; what fits into no limit is rejected. A limit returns as the window of TCP CUBIC does.
-// Without overload there is no limit, and nothing here acts.
+// Sessions dropped by an overloaded backend move to the others and may overload them in turn. Therefore
+// overload reduces a backend's capacity limit, and sessions that fit within no limit are rejected. A limit
+// recovers along a cubic curve, like the congestion window of TCP CUBIC. Without overload no limit applies.
 class CapacityLimiter {
  public:
   CapacityLimiter(BalancerActions& actions, const BalancerParameters& parameters, const Fleet& fleet,
                   const SlowStart& slow_start)
       : actions_(actions), parameters_(parameters), fleet_(fleet), slow_start_(slow_start) {}
 
-  // The load that this relay may put on the backend now; CapacityLimit::kUnlimited without a limit.
-  // Quickly back towards the load at overload, slowly past that, then out.
+  // The load that this relay may put on the backend now; CapacityLimit::kUnlimited without a limit. A reduced
+  // limit first grows quickly towards the load at overload, then slowly past it, then quickly again.
   double current(const Backend& backend) const;
-  // Whether a session of this load fits beside `held`. Where one session is more than the limit, an agreed
-  // draw decides, so that all relays keep and refuse the same groups.
+  // Whether a session of this load fits beside the load `held`. If a single session exceeds the limit, a hash
+  // draw decides, so that all relays accept and reject the same groups.
   bool fits(double held, double load, const Session& session, const Backend& backend) const;
 
-  // The backend is overloaded: its limit becomes the given share of what it holds. At most once in 0.9 s.
+  // Reduces the limit of an overloaded backend to the given share of the load it holds, at most once in 0.9
+  // s.
   void reduce(Backend& backend, double share);
-  // The backend dropped something: overload, if it is not the only failure there lately.
-  // Connections break singly, everywhere; each taken for overload would soon close the fleet to all.
+  // The backend dropped a session. This is a sign of overload only if the backend has other recent failures:
+  // single connections break everywhere, and if each counted as overload, all clients would soon be rejected.
   void record_drop(Backend& backend);
-  // The backend reported a utilization that is not high: it bears what it held when the report was taken.
-  // A rush of attempts makes messages late for a moment; limits reduced for it would reject clients for
-  // seconds.
+  // The backend reported a utilization that is not high, so its limit rises to at least the load that it held
+  // when the report was taken. A burst of attempts delays messages only for a moment; without this, the
+  // limits reduced because of it would reject clients for seconds.
   void record_spare_capacity(Backend& backend, double utilization);
-  // Most known backends are overloaded: the others keep what they hold, and the unknown are taken to have as
-  // little capacity left as the known.
-  // Else what the overloaded shed would rush to those whose limits are not reduced yet.
+  // Called when most known backends are overloaded. Limits the other backends to the load they hold, and
+  // assumes that backends without sessions of this relay have as little capacity left as the known ones.
+  // Otherwise all load shed by the overloaded backends would move to those whose limits are not reduced yet.
   void infer_from_others(const FleetLoad& fleet_load);
-  // An outlier by its latency looked like overload: takes back what was concluded of it and of the others.
+  // A latency outlier was mistaken for an overloaded backend: removes its limit, and those inferred for
+  // others.
   void retract_overload_of(const Backend& outlier);
 
-  // Reduced within 1.8 s: overload may still be going on.
+  // Reduced within the last 1.8 s: the overload may be continuing.
   bool was_reduced_recently(const Backend& backend) const;
   bool was_reduced_within(const Backend& backend, Micros time) const;
-  // Reduced, and not back yet at what it held then.
+  // Reduced, and not yet back at the load held at that time.
   bool is_recovering(const Backend& backend) const;
-  // Overloaded lately, by this relay's own evidence.
+  // Recently overloaded by evidence from the backend itself, not inferred from others.
   bool is_overload_witnessed(const Backend& backend) const;
   bool has_spare_capacity_report(const Backend& backend) const;
 
-  // Whether most backends are, by those of which this relay knows anything, or by an earlier verdict. A relay
-  // that has just started holds nothing: one report of overload must not close the fleet to all.
+  // Whether most known backends are overloaded, or were found to be so a short while ago. `known` and
+  // `overloaded` are numbers of backends. Needs a minimum of known backends: a relay that has just started
+  // holds no sessions, and must not reject all clients after one report of overload.
   bool are_most_overloaded(double known, double overloaded) const;
-  // The verdict that most backends are overloaded stands for a while, so that it does not flap.
+  // Once most backends are found overloaded, this holds for the capacity recovery time, to avoid flapping.
   bool is_generally_overloaded() const { return actions_.now() < general_overload_until_; }
   bool was_generally_overloaded_within(Micros time) const;
   void save(StateSnapshot& snapshot) const { snapshot.general_overload_until = general_overload_until_; }
   void restore(const StateSnapshot& snapshot);
 
  private:
-  static constexpr Micros kReduceInterval = 9 * kSecond / 10;  // a second reduction sees what the first did
-  static constexpr double kFewKnown = 3;                       // of fewer backends nothing is said of all
-  static constexpr double kExtraReduction = 0.1;   // of a session: many round up what they shed, one cannot
-  static constexpr double kUnknownCapacity = 0.5;  // of the known capacity left
+  static constexpr Micros kMinReductionInterval =
+      9 * kSecond / 10;                           // lets a reduction take effect before the next
+  static constexpr double kMinKnownBackends = 3;  // fewer say nothing about the fleet
+  // Load, in mean sessions, taken off in addition: a relay with many sessions rounds up the load it sheds,
+  // which a relay with one session cannot do.
+  static constexpr double kRoundingReductionSessions = 0.1;
+  static constexpr double kUnknownCapacityFactor = 0.5;  // of the capacity left at known backends
 
   BalancerActions& actions_;
   const BalancerParameters& parameters_;
--- a/src/balancer/capacity_history.cpp
+++ b/src/balancer/capacity_history.cpp
@@ -1,4 +1,4 @@
-// What CapacityLimiter can tell of the past: times noted and looked up, nothing decided.
+// CapacityLimiter's queries on past overload; they change no state.
 #include "balancer/capacity.hpp"
 
 namespace cherryrail {
@@ -8,7 +8,7 @@
 }
 
 bool CapacityLimiter::was_reduced_recently(const Backend& backend) const {
-  return was_reduced_within(backend, 2 * kReduceInterval);
+  return was_reduced_within(backend, 2 * kMinReductionInterval);
 }
 
 bool CapacityLimiter::is_recovering(const Backend& backend) const {
--- a/src/balancer/capacity_limit.hpp
+++ b/src/balancer/capacity_limit.hpp
@@ -1,4 +1,4 @@
-// The load that this relay may put on one backend, as learned from overload.
+// The load that this relay may put on one backend, limited after overload.
 #pragma once
 
 #include "balancer/state_snapshot.hpp"
@@ -20,11 +20,11 @@
  private:
   friend class CapacityLimiter;
 
-  double limit_ = kUnlimited;    // when it was reduced; it recovers from there
-  double load_at_overload_ = 0;  // what the backend held when overload began
+  double limit_ = kUnlimited;    // as of reduced_at_; recovers from there
+  double load_at_overload_ = 0;  // held by the backend when overload began
   Micros reduced_at_ = 0;
-  Micros spare_capacity_reported_at_ = 0;  // its latest report of a utilization that is not high
-  bool is_inferred_ = false;  // taken over from other backends' overload, with no evidence from this one
+  Micros spare_capacity_reported_at_ = 0;  // latest report of a utilization that is not high
+  bool is_inferred_ = false;               // from other backends' overload, without evidence from this one
 };
 
 }  // namespace cherryrail
--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -9,8 +9,8 @@
 namespace cherryrail {
 namespace {
 
-constexpr unsigned kReportsInMean = 64;
-// Small names would hash to draws near each other.
+constexpr unsigned kMaxReportsInMean = 64;
+// Keeps backends with small numbers as names from hashing to draws near each other.
 constexpr std::uint64_t kNameSalt = 0x9e3779b97f4a7c15ULL;
 
 double lowest_priority_weight(const BalancerParameters& parameters) {
@@ -27,7 +27,8 @@
   return session.group_key != 0 ? session.group_key : session.client_key;
 }
 
-// Until loads are reported, a class is taken to load a backend by its priority: the dearest are seldom light.
+// Until loads are reported, a class is assumed to load a backend in proportion to its priority, since
+// sessions of high priority are rarely light.
 LoadEstimates::LoadEstimates(const BalancerParameters& parameters) {
   const double lowest = lowest_priority_weight(parameters);
   for (const TrafficClass& traffic_class : parameters.traffic_classes) {
@@ -50,8 +51,8 @@
     estimate.load = load;
   }
   ++estimate.reports;
-  const double part = 1.0 / std::min(kReportsInMean, estimate.reports);
-  estimate.load += part * (load - estimate.load);
+  const double report_weight = 1.0 / std::min(kMaxReportsInMean, estimate.reports);
+  estimate.load += report_weight * (load - estimate.load);
   return is_first;
 }
 
@@ -66,7 +67,7 @@
   return std::any_of(backends_.begin(), backends_.end(), is_same);
 }
 
-// A restart may be stated with an earlier time than the start before it, if the wall clock was set back.
+// Compares for inequality: if the wall clock was set back, a restart may be reported with an earlier time.
 bool Fleet::has_restarted(const Backend& backend, Micros reported_started_at) const {
   return reported_started_at > 0 && reported_started_at != backend.reported_started_at && contains(backend);
 }
@@ -136,7 +137,7 @@
   session.load = load;
 }
 
-// What was counted in shares of priority is counted in reported work from here on.
+// Converts all loads from units of relative priority to units of reported work.
 void Fleet::recount_loads() {
   total_load_ = 0;
   for (const auto& backend : backends_) {
@@ -149,7 +150,7 @@
   }
 }
 
-bool Fleet::is_over_share(const Session& session) const {
+bool Fleet::is_tenant_over_share(const Session& session) const {
   if (session.tenant >= tenants_.size()) return false;
   const Tenant& tenant = tenants_[session.tenant];
   return tenant.share > 0 && tenant.held > tenant.share;
--- a/src/balancer/fleet.hpp
+++ b/src/balancer/fleet.hpp
@@ -1,4 +1,4 @@
-// All backends, and the account of the sessions and loads that this relay has there.
+// All backends, with the sessions and loads that this relay has on them.
 #pragma once
 
 #include <cstddef>
@@ -11,31 +11,31 @@
 
 namespace cherryrail {
 
-// The hash key of a session: its group's, or else its client's.
+// The hash key of a session: its group's key or, without a group, its client's.
 std::uint64_t hash_key_of(const Session& session);
 
-// What load a session of each traffic class is expected to ask of a backend.
+// Expected load of a session on a backend, by traffic class.
 class LoadEstimates {
  public:
   explicit LoadEstimates(const BalancerParameters& parameters);
 
   double expected(const Session& session) const;
-  // Takes in a load that was reported; true if it is the first of all, which changes the unit of every
-  // estimate.
+  // Updates the estimate of a class with a reported load. Returns true for the first report of any class,
+  // which changes the unit of all estimates.
   bool learn(std::size_t class_index, double load);
 
  private:
   struct Estimate {
-    double load = 1;  // the mean of what was reported; until then the class's share of priority
+    double load = 1;  // moving average of the reports; before the first, the relative priority of the class
     unsigned reports = 0;
   };
 
   std::vector<Estimate> classes_;
-  double unit_ = 1;  // reported load for one unit of priority share
+  double unit_ = 1;  // reported load per unit of relative priority
 };
 
-// When a backend started: as discovery states it, which tells one start from another, and by this process's
-// clock, which tells how long ago that was. 0: long ago.
+// When a backend started. The time reported by discovery tells one start from another; the time by this
+// process's clock gives its age. 0: long ago.
 struct BackendStart {
   Micros reported = 0;
   Micros local = 0;
@@ -45,18 +45,18 @@
  public:
   explicit Fleet(const BalancerParameters& parameters);
 
-  // In the order in which discovery named them; a removed backend stays until it holds no session.
+  // In the order in which discovery first listed them; a removed backend stays until it holds no session.
   const std::vector<std::shared_ptr<Backend>>& backends() const { return backends_; }
   bool contains(const Backend& backend) const;
   std::shared_ptr<Backend> find(std::uint64_t name) const;
-  // Whether discovery tells of another start of a backend that it told of before.
+  // Whether discovery reports a new start time for a known backend.
   bool has_restarted(const Backend& backend, Micros reported_started_at) const;
-  // Takes in what discovery tells of a backend, and adds it if it is new.
+  // Updates a backend with what discovery reports, and adds it if it is new.
   void record_endpoint(const std::shared_ptr<Backend>& backend, EndpointState state, double size,
                        const BackendStart& start, Micros now);
   void erase_if_gone(const std::shared_ptr<Backend>& backend);
 
-  // A session is held by a backend from the start of its attempt to the end of that, or of the session.
+  // A backend holds a session from the start of the attempt until the attempt or the session ends.
   void attach(Session& session, Backend& backend, Micros now);
   void detach(Session& session);
   void mark_established(Session& session);
@@ -68,17 +68,17 @@
   std::size_t settled_count() const { return established_count_ - migration_queued_count_; }
 
   double expected_load(const Session& session) const { return estimates_.expected(session); }
-  // The mean load of the sessions held; 1 where there are none.
+  // The mean load of the sessions held; 1 without sessions.
   double mean_session_load() const;
-  // A backend or client reported what load the session asks, in work a second.
+  // Updates the load of a session from a report by a backend or client, in work per second.
   void record_load(Session& session, double load);
-  // Whether this relay holds more of the session's tenant than its part of the tenant's share.
-  bool is_over_share(const Session& session) const;
+  // Whether this relay holds more sessions of the session's tenant than its part of the tenant's share.
+  bool is_tenant_over_share(const Session& session) const;
 
  private:
   struct Tenant {
-    double share = 0;  // of established sessions, this relay's part
-    double held = 0;
+    double share = 0;  // this relay's part, in established sessions; 0: unlimited
+    double held = 0;   // sessions
   };
 
   void recount_loads();
--- a/src/balancer/fleet_load.cpp
+++ b/src/balancer/fleet_load.cpp
@@ -6,13 +6,13 @@
 
 struct FleetLoadMeter::Sums {
   double load = 0;
-  double size = 0;        // of every backend in service, late ones too
-  ZoneCapacity capacity;  // the same by their slow-start factors
-  double reporting = 0;   // backends that have reported their utilization
-  double utilization = 0;
-  double known = 0;             // backends of whose load this relay can tell
-  double overloaded = 0;        // among these, lately
-  double current_capacity = 0;  // of the overloaded
+  double size = 0;              // of all backends in service, including those with a latency penalty
+  ZoneCapacity capacity;        // of the same backends, times their slow-start factors
+  double reporting = 0;         // number of backends that have reported their utilization
+  double utilization = 0;       // sum over these
+  double known = 0;             // number of backends about whose load this relay has information
+  double overloaded = 0;        // number of these that were overloaded recently
+  double current_capacity = 0;  // of the overloaded ones
   double load_at_overload = 0;
 };
 
@@ -28,7 +28,7 @@
   load.mean_size = sums.size > 0 ? sums.size / ready : 1;
   load.sessions_per_backend /= ready;
   if (sums.reporting > 0) {
-    load.mean_utilization = std::clamp(sums.utilization / sums.reporting, kCalmUtilization, kFullUtilization);
+    load.mean_utilization = std::clamp(sums.utilization / sums.reporting, kLowUtilization, kFullUtilization);
   } else {
     load.mean_utilization = kFullUtilization;
   }
@@ -49,13 +49,14 @@
   if (backend.zone == parameters_.zone) sums.capacity.local += capacity;
   sums.capacity.total += capacity;
   sums.size += backend.size;
-  // Measured with those that are late by themselves, the few in time would seem full, and nothing would move
-  // there.
+  // Backends with a latency penalty are left out. Otherwise, where only a few backends have none, these would
+  // seem full and no session would move to them.
   if (penalties_.latency(backend) > 0) return;
-  add_in_time(backend, capacity, load, sums);
+  add_without_penalty(backend, capacity, load, sums);
 }
 
-void FleetLoadMeter::add_in_time(const Backend& backend, double capacity, FleetLoad& load, Sums& sums) const {
+void FleetLoadMeter::add_without_penalty(const Backend& backend, double capacity, FleetLoad& load,
+                                         Sums& sums) const {
   ++load.ready_count;
   load.ready_capacity += capacity;
   sums.load += backend.sessions.load();
--- a/src/balancer/fleet_load.hpp
+++ b/src/balancer/fleet_load.hpp
@@ -1,4 +1,4 @@
-// What all ready backends hold and can hold together, measured anew for each placement.
+// Measures the total load and capacity of the ready backends, anew for each placement.
 #pragma once
 
 #include <vector>
@@ -14,7 +14,7 @@
 
 namespace cherryrail {
 
-// Takes FleetLoad's figures, and with them the verdicts on overload and on the weight of this relay's own
+// Computes the figures of FleetLoad, including whether backends are overloaded and the weight of the local
 // zone.
 class FleetLoadMeter {
  public:
@@ -30,8 +30,8 @@
   struct Sums;
 
   void add(const Backend& backend, FleetLoad& load, Sums& sums) const;
-  // One that is in service and not late by itself.
-  void add_in_time(const Backend& backend, double capacity, FleetLoad& load, Sums& sums) const;
+  // Adds a backend that is in service and has no latency penalty.
+  void add_without_penalty(const Backend& backend, double capacity, FleetLoad& load, Sums& sums) const;
 
   const BalancerActions& actions_;
   const BalancerParameters& parameters_;
@@ -41,7 +41,7 @@
   const CapacityLimiter& capacity_;
   const LatencyPenalties& penalties_;
   const LocalZonePreference& local_zone_;
-  mutable std::vector<bool> zones_seen_;  // kept between measurements: no allocation for each
+  mutable std::vector<bool> zones_seen_;  // a member, to avoid an allocation for each measurement
 };
 
 }  // namespace cherryrail
--- a/src/balancer/hash.hpp
+++ b/src/balancer/hash.hpp
@@ -1,12 +1,12 @@
-// Hashing that gives the same result in every process, so that relays agree without talking to each other.
+// Hashing that gives the same result in every process, so that relays agree without communication.
 #pragma once
 
 #include <cstdint>
 
 namespace cherryrail {
 
-// Mixes all bits of a key: the finalizer of SplitMix64. Inline, since every backend is hashed for every
-// placement.
+// Mixes all bits of a key with the finalizer of SplitMix64. Inline because every placement hashes every
+// backend.
 inline std::uint64_t mix_hash(std::uint64_t key) {
   key ^= key >> 30;
   key *= 0xbf58476d1ce4e5b9ULL;
@@ -15,10 +15,10 @@
   return key ^ (key >> 31);
 }
 
-// A number in (0, 1), drawn for a key at a place (both already mixed or random); the same at every relay.
-inline double uniform_draw(std::uint64_t key, std::uint64_t place) {
-  constexpr int kBitsNotInMantissa = 11;  // of 64, a double holds 53
-  const std::uint64_t bits = mix_hash(key ^ place) >> kBitsNotInMantissa;
+// A pseudo-random number in (0, 1) for a pair of keys, both already mixed or random; the same at every relay.
+inline double uniform_draw(std::uint64_t key, std::uint64_t other_key) {
+  constexpr int kBitsBeyondMantissa = 11;  // a double holds 53 of the 64 bits
+  const std::uint64_t bits = mix_hash(key ^ other_key) >> kBitsBeyondMantissa;
   return (static_cast<double>(bits) + 0.5) * 0x1p-53;
 }
 
--- a/src/balancer/latency_outliers.hpp
+++ b/src/balancer/latency_outliers.hpp
@@ -1,4 +1,4 @@
-// Finds backends, and paths to zones, that are late whatever their load is.
+// Finds backends, and network paths to zones, that are slow independently of their load.
 #pragma once
 
 #include "balancer/capacity.hpp"
@@ -7,10 +7,10 @@
 
 namespace cherryrail {
 
-// Behind a slow path, or while its process hangs, a backend looks overloaded, yet shedding a part of its load
-// helps nobody. Overload moves message latencies up and down; an outlier reports the same late one again and
-// again. What cannot be in time there migrates, as on a drain, and nothing is placed there while its penalty
-// lasts.
+// A backend behind a slow network path, or one whose process hangs, looks overloaded, but shedding a part of
+// its load does not help. Under overload, message latencies rise and fall; a latency outlier reports a
+// similar high latency again and again. While its penalty lasts, sessions whose objective it cannot meet
+// migrate away, as from a draining backend, and none are placed there.
 class LatencyOutlierDetector {
  public:
   LatencyOutlierDetector(BalancerActions& actions, const BalancerParameters& parameters, const Fleet& fleet,
@@ -18,27 +18,28 @@
       : actions_(actions), parameters_(parameters), fleet_(fleet), capacity_(capacity), penalties_(penalties),
         migration_(migration) {}
 
-  // A message on an established session took so long.
+  // `latency` is that of a message on an established session.
   void record_message_latency(Backend& backend, Micros latency);
 
  private:
   struct ZoneReports;
 
-  static constexpr Micros kReportInterval = kSecond / 2;  // reports that come sooner tell nothing more
+  static constexpr Micros kMinReportInterval = kSecond / 2;  // earlier reports are ignored
   static constexpr Micros kReportLifetime = 2 * kSecond;
-  static constexpr double kSimilar = 0.1;        // of a latency: reports that differ by less are alike
-  static constexpr unsigned kSimilarInARow = 2;  // after the first
-  static constexpr double kFewKnown = 3;
-  static constexpr double kMostOf = 0.6;  // of what is known in a zone
+  static constexpr double kSimilarityTolerance = 0.1;       // relative difference of similar latencies
+  static constexpr unsigned kSimilarReportsForOutlier = 2;  // consecutive, after the first
+  static constexpr double kMinSlowBackends = 3;             // in a zone, for a slow path; 1 in a relapse
+  static constexpr double kMinSlowShare = 0.6;  // of the known backends in a zone, for a slow path
 
-  bool was_late(const Backend& backend) const;
+  bool was_slow(const Backend& backend) const;
   void penalize_backend(Backend& backend);
-  // Where most of a zone is late by a similar latency, and something in this relay's own zone is in time, it
-  // is the path: for the untried backends there too, and they are not to blame for attempts that fail on it.
+  // If most backends of a zone report a similar high latency while a backend in the local zone meets its
+  // objective, the path to that zone is slow. The penalty then covers the zone's untried backends too, and
+  // attempts that fail on the path do not count against its backends.
   void evaluate_path(unsigned zone);
   ZoneReports reports_of(unsigned zone) const;
-  // Holds sessions, and none of them reported a late message.
-  bool is_in_time(const Backend& backend) const;
+  // Whether the backend is ready and holds sessions, and its latest report is not of a slow message.
+  bool meets_objective(const Backend& backend) const;
 
   BalancerActions& actions_;
   const BalancerParameters& parameters_;
--- a/src/balancer/latency_penalties.cpp
+++ b/src/balancer/latency_penalties.cpp
@@ -1,4 +1,4 @@
-// Looks up the penalties that are in force; latency_outliers.cpp decides what follows from them.
+// Looks up the active latency penalties.
 #include "balancer/latency_penalties.hpp"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 namespace cherryrail {
 
 Micros LatencyPenalties::latency(const Backend& backend) const {
-  // As nearly always: this is asked of every backend for every placement.
+  // Fast path for the usual case: this function runs for every backend on every placement.
   if (paths_.empty() && !backend.latency.penalty().was_imposed()) return 0;
   return std::max(backend.latency.penalty().latency(actions_.now()), path_latency(backend));
 }
--- a/src/balancer/latency_penalties.hpp
+++ b/src/balancer/latency_penalties.hpp
@@ -1,4 +1,4 @@
-// The latencies that backends, and paths to other zones, are expected to add whatever their load is.
+// The latencies that backends, and network paths to zones, are expected to add independently of their load.
 #pragma once
 
 #include <map>
@@ -8,22 +8,23 @@
 
 namespace cherryrail {
 
-// LatencyOutlierDetector imposes the penalties; placement and migration ask for them.
+// LatencyOutlierDetector imposes the penalties; placement and migration query them.
 class LatencyPenalties {
  public:
   explicit LatencyPenalties(const BalancerActions& actions) : actions_(actions) {}
 
-  // The backend's own penalty or its path's, whichever is longer; 0 where it is in time.
+  // The active penalty of the backend or of the path to its zone, whichever is higher; 0 without a penalty.
   Micros latency(const Backend& backend) const;
-  // Of the path to its zone alone: failures there speak against no backend.
+  // The active penalty of the path to the backend's zone alone: failures on a slow path do not count against
+  // a backend.
   Micros path_latency(const Backend& backend) const;
-  // Whether messages of the session could not be in time at the backend.
+  // Whether messages of the session would miss their objective at the backend.
   bool is_too_slow_for(const Session& session, const Backend& backend) const;
 
   LatencyPenalty& path_to(unsigned zone) { return paths_[zone]; }
 
  private:
-  static constexpr double kTolerablePart = 0.7;  // of a session's message latency objective
+  static constexpr double kMaxObjectiveShare = 0.7;  // of a session's message latency objective
 
   const BalancerActions& actions_;
   std::map<unsigned, LatencyPenalty> paths_;  // by zone
--- a/src/balancer/latency_status.hpp
+++ b/src/balancer/latency_status.hpp
@@ -1,4 +1,4 @@
-// How late messages through one backend are, whatever its load.
+// Latency reports and the latency penalty of one backend.
 #pragma once
 
 #include <algorithm>
@@ -7,16 +7,16 @@
 
 namespace cherryrail {
 
-// A latency that is expected of a backend, or of the path to a zone, for some time.
+// A latency that a backend, or the network path to a zone, is expected to add for some time.
 class LatencyPenalty {
  public:
   bool was_imposed() const { return duration_ > 0; }
   bool is_active(Micros now) const { return now < until_; }
   // 0 while it is not active.
   Micros latency(Micros now) const { return is_active(now) ? latency_ : 0; }
-  // Ended a short while ago: what is seen now may be a relapse.
+  // Whether the penalty ended so recently that a new one counts as a relapse.
   bool ended_recently(Micros now) const { return duration_ > 0 && now - until_ < 4 * duration_; }
-  // Expects this latency from now on; twice as long at each relapse.
+  // Imposes this latency from now on. The duration doubles with each relapse, up to a maximum.
   void impose(Micros latency, Micros now);
   void end(Micros now) { until_ = std::min(until_, now); }
 
@@ -29,7 +29,7 @@
 class LatencyStatus {
  public:
   const LatencyPenalty& penalty() const { return penalty_; }
-  // A late report is similar if it hardly differs from the one before.
+  // `is_similar`: the latency misses the objective and is close to the previously reported one.
   void record(Micros latency, bool is_similar, Micros now);
   void end_penalty(Micros now) { penalty_.end(now); }
 
@@ -37,9 +37,9 @@
   friend class LatencyOutlierDetector;
 
   LatencyPenalty penalty_;
-  Micros reported_latency_ = 0;  // of messages, as reported last
+  Micros reported_latency_ = 0;  // of messages, from the latest report
   Micros reported_at_ = 0;
-  unsigned similar_in_a_row_ = 0;  // late reports that hardly differ
+  unsigned consecutive_similar_reports_ = 0;  // high latencies close to the previous one
 };
 
 }  // namespace cherryrail
--- a/src/balancer/load_shedding.cpp
+++ b/src/balancer/load_shedding.cpp
@@ -8,8 +8,9 @@
   if (!report.reported_utilization) return;
   const double utilization = *report.reported_utilization;
   backend.reported_utilization = utilization;
-  const double share = std::max(kDeepReduction, kFullUtilization / utilization);
-  // One that is nearly full serves all in time; its sessions, migrated, would overload the next.
+  const double share = std::max(kDeepReductionFactor, kFullUtilization / utilization);
+  // A nearly full backend still meets its objectives, so it gets no more sessions but sheds none: migrated
+  // sessions would overload the next backend.
   if (utilization <= kFullUtilization)
     capacity_.record_spare_capacity(backend, utilization);
   else if (utilization > kOverloadUtilization)
@@ -21,9 +22,10 @@
 void LoadShedder::record_message_latency(Backend& backend, Micros latency) {
   const Micros shortest = parameters_.shortest_message_objective;
   const bool is_deep = latency > 2 * parameters_.longest_message_objective;
-  // At half of the objective the mean is in time, yet a part is late, and more with each session that comes.
+  // With the mean latency at half of the objective, some messages already exceed it, and more will with each
+  // new session.
   if (latency > shortest)
-    handle_overload(backend, is_deep ? kDeepReduction : kSlightReduction);
+    handle_overload(backend, is_deep ? kDeepReductionFactor : kSlightReductionFactor);
   else if (2 * latency > shortest)
     capacity_.reduce(backend, 1);
 }
@@ -42,8 +44,8 @@
   }
   for (const Candidate& candidate : migration_candidates(backend)) {
     Session& session = *candidate.session;
-    const bool stays = candidate.is_foreign ? kept + session.load <= capacity_.current(backend)
-                                            : capacity_.fits(kept, session.load, session, backend);
+    const bool stays = candidate.fits_at_preferred ? kept + session.load <= capacity_.current(backend)
+                                                   : capacity_.fits(kept, session.load, session, backend);
     if (stays)
       kept += session.load;
     else
@@ -60,12 +62,14 @@
     if (preferred == nullptr || preferred->state != EndpointState::ready) placement_.rank(*session);
     preferred = session->preferred_backend;
     const unsigned group_size = backend.sessions.group_size(session->hash_key);
-    const bool is_foreign = preferred != nullptr && preferred != &backend && group_size == 1 &&
-                            capacity_.fits(preferred->sessions.load(), session->load, *session, *preferred);
-    const double order = agreed_order(*session, backend) - group_size;
-    candidates.push_back({session, is_foreign, {fleet_.is_over_share(*session), is_foreign, order}});
+    const bool fits_at_preferred =
+        preferred != nullptr && preferred != &backend && group_size == 1 &&
+        capacity_.fits(preferred->sessions.load(), session->load, *session, *preferred);
+    const double order = capacity_order(*session, backend) - group_size;
+    candidates.push_back(
+        {session, fits_at_preferred, {fleet_.is_tenant_over_share(*session), fits_at_preferred, order}});
   }
-  std::ranges::stable_sort(candidates, {}, &Candidate::stays_by);
+  std::ranges::stable_sort(candidates, {}, &Candidate::retention_order);
   return candidates;
 }
 
--- a/src/balancer/load_shedding.hpp
+++ b/src/balancer/load_shedding.hpp
@@ -1,4 +1,4 @@
-// Answers signs of overload: reduces capacity limits, and migrates what is over them.
+// Reacts to signs of overload: reduces capacity limits, and migrates sessions that exceed them.
 #pragma once
 
 #include <tuple>
@@ -19,22 +19,23 @@
         migration_(migration) {}
 
   void record_load_report(Backend& backend, const LoadReport& report);
-  // A message on an established session took so long.
+  // `latency` is that of a message on an established session.
   void record_message_latency(Backend& backend, Micros latency);
 
  private:
-  // A session that may have to migrate. Those stay first whose tenant is within its share; that their
-  // preferred backend would not take in; then whole groups, large ones first, by an order on which all relays
-  // agree.
+  // A session that may have to migrate. Sessions of tenants within their share are kept first, then those
+  // that their preferred backend has no capacity for. Otherwise whole groups are kept together, large ones
+  // first, in an order that is the same at every relay.
   struct Candidate {
     Session* session = nullptr;
-    bool is_foreign = false;  // its preferred backend would take it in
-    std::tuple<bool, bool, double> stays_by;
+    bool fits_at_preferred = false;  // its preferred backend is another one that has capacity for it
+    std::tuple<bool, bool, double> retention_order;
   };
 
+  // `share` is the part of the backend's load that its reduced limit allows.
   void handle_overload(Backend& backend, double share);
   void shed_excess_load(Backend& backend);
-  // In the order in which they stay.
+  // In the order in which they are kept.
   std::vector<Candidate> migration_candidates(Backend& backend) const;
 
   const BalancerParameters& parameters_;
--- a/src/balancer/placement.cpp
+++ b/src/balancer/placement.cpp
@@ -12,8 +12,8 @@
   fleet_load_ = meter_.measure();
   session.passed_over_warming_up = 0;
   session.passed_over_at_capacity = 0;
-  // During overload the sessions of a tenant over its share yield first.
-  if (is_stopped_ || (fleet_load_.is_any_overloaded && fleet_.is_over_share(session))) return nullptr;
+  // During overload, sessions of tenants over their share are rejected first.
+  if (is_stopped_ || (fleet_load_.is_any_overloaded && fleet_.is_tenant_over_share(session))) return nullptr;
   rank(session);
   const double load = fleet_.expected_load(session);
   std::array<Candidate, tier_count> best{};
@@ -27,7 +27,8 @@
     Candidate& candidate = best[*tier];
     if (candidate.backend == nullptr || rank < candidate.rank) candidate = {backend.get(), rank};
   }
-  const auto found = std::ranges::find_if(best, [](const Candidate& one) { return one.backend != nullptr; });
+  const auto found =
+      std::ranges::find_if(best, [](const Candidate& candidate) { return candidate.backend != nullptr; });
   return found == best.end() ? nullptr : found->backend;
 }
 
@@ -41,13 +42,14 @@
   if (session.has_tried(backend)) return {};
   const double held = backend.sessions.load() + load * new_group_cost(session, backend);
   const bool fits = session.is_mid_flow || capacity_.fits(held, load, session, backend);
-  const bool is_wide = backend.zone == parameters_.zone && fleet_load_.local_zone_weight > 1 &&
-                       backend.reported_utilization < kCalmUtilization;
-  const bool is_over = !session.is_mid_flow && is_over_cap(backend, is_wide ? kWideCapFactor : kCapFactor);
-  // What overloaded backends shed would all go to the one that is not overloaded yet, and overload it in its
-  // turn. So it takes twice the mean at most, and one that was overloaded but is under the cap takes its
-  // part.
-  if (is_over && fleet_load_.is_any_overloaded && is_over_cap(backend, kWideCapFactor)) return {};
+  const bool has_relaxed_cap = backend.zone == parameters_.zone && fleet_load_.local_zone_weight > 1 &&
+                               backend.reported_utilization < kLowUtilization;
+  const bool is_over =
+      !session.is_mid_flow && is_over_cap(backend, has_relaxed_cap ? kRelaxedCapFactor : kCapFactor);
+  // Otherwise the load shed by overloaded backends would all go to one that is not overloaded yet, and
+  // overload it in turn. Limited to twice the mean load, it leaves a share to previously overloaded backends
+  // that are under their cap.
+  if (is_over && fleet_load_.is_any_overloaded && is_over_cap(backend, kRelaxedCapFactor)) return {};
   if (!fits && (is_over || is_capacity_strict() || capacity_.was_reduced_recently(backend))) {
     ++session.passed_over_at_capacity;
     return {};
@@ -59,19 +61,19 @@
 
 double Placement::new_group_cost(const Session& session, const Backend& backend) const {
   if (backend.sessions.has_group(session.hash_key)) return 0;
-  // At the preferred backend other relays may hold the group.
+  // Other relays may already have sessions of the group on the preferred backend.
   if (session.preferred_backend == &backend) return std::min(kNewGroupCost, fleet_load_.sessions_per_backend);
   return kNewGroupCost;
 }
 
 bool Placement::is_over_cap(const Backend& backend, double factor) const {
   const double cap = factor * fleet_load_.load_per_capacity * backend.size * slow_start_.factor(backend);
-  return backend.sessions.load() >= std::max(cap, kCapFloor * fleet_.mean_session_load());
+  return backend.sessions.load() >= std::max(cap, kMinCapSessions * fleet_.mean_session_load());
 }
 
 bool Placement::is_capacity_strict() const {
-  return fleet_load_.is_most_overloaded || fleet_load_.sessions_per_backend < kCapFloor ||
-         fleet_load_.ready_count < kFewBackends;
+  return fleet_load_.is_most_overloaded || fleet_load_.sessions_per_backend < kMinCapSessions ||
+         fleet_load_.ready_count < kMinBackendsForOverflow;
 }
 
 void Placement::rank(Session& session) const {
@@ -97,22 +99,22 @@
 }
 
 void Placement::spread_group(Session& session) const {
-  const double part =
+  const double share_per_backend =
       std::min(1.0, slow_start_.planned_load_factor() * slow_start_.factor(*session.preferred_backend));
   const double draw = uniform_draw(mix_hash(session.client_key), ~session.hash_key);
-  const auto place = static_cast<std::size_t>(draw / part);
-  if (place == 0) return;
+  const auto position = static_cast<std::size_t>(draw / share_per_backend);
+  if (position == 0) return;
   std::vector<std::pair<double, Backend*>> warming_up;
   for (const auto& backend : fleet_.backends()) {
     if (backend->state == EndpointState::ready && slow_start_.factor(*backend) < 1)
       warming_up.emplace_back(backend->score.rank(), backend.get());
   }
   session.preferred_backend = nullptr;
-  if (place >= warming_up.size()) return;
+  if (position >= warming_up.size()) return;
   std::ranges::sort(warming_up, {}, &std::pair<double, Backend*>::first);
-  // The two change places in the session's order.
-  std::swap(warming_up.front().second->score, warming_up[place].second->score);
-  session.preferred_backend = warming_up[place].second;
+  // Swaps the two backends in the session's rank order.
+  std::swap(warming_up.front().second->score, warming_up[position].second->score);
+  session.preferred_backend = warming_up[position].second;
 }
 
 }  // namespace cherryrail
--- a/src/balancer/placement.hpp
+++ b/src/balancer/placement.hpp
@@ -21,15 +21,16 @@
       : actions_(actions), parameters_(parameters), fleet_(fleet), meter_(meter), slow_start_(slow_start),
         capacity_(capacity), penalties_(penalties), retry_policy_(retry_policy) {}
 
-  // The best ranked backend for the session: under the load cap; or else over it; or else an ejected one.
-  // Null if the session may go to none. Measures the fleet and ranks its backends for the session.
+  // Measures the fleet, ranks its backends for the session and returns the best ranked backend under the load
+  // cap; without one, the best ranked over the cap; without one, the best ranked that outlier detection
+  // avoids. Null if the session may go to no backend.
   Backend* choose(Session& session);
-  // Ranks all ready backends for the session and notes the first as its preferred one.
+  // Ranks all ready backends for the session and sets its preferred backend to the best ranked one.
   void rank(Session& session) const;
-  // The measurement of the latest choice.
+  // The fleet as measured by the latest choose().
   const FleetLoad& fleet_load() const { return fleet_load_; }
 
-  // From now on nothing is placed: the relay shuts down.
+  // Places no further session: the relay is shutting down.
   void stop() { is_stopped_ = true; }
   bool is_stopped() const { return is_stopped_; }
 
@@ -41,21 +42,27 @@
     double rank = 0;
   };
 
-  static constexpr double kCapFactor = 1.25;   // of the mean load, as the design has it
-  static constexpr double kWideCapFactor = 2;  // in the own zone while calm; during overload the most for any
-  static constexpr double kCapFloor = 2;       // sessions; the design's floor
-  static constexpr double kFewBackends = 3;    // too few to take over capacity for one that is full
-  // Sessions' worth of capacity that the first of a group needs beyond its own: a group costs a backend more
-  // than its members do, so where capacity is short it takes in no new one lightly.
+  // Load caps, as multiples of the mean load per capacity.
+  static constexpr double kCapFactor = 1.25;
+  static constexpr double kRelaxedCapFactor =
+      2;  // in the local zone at low utilization; during overload, the maximum for any
+  static constexpr double kMinCapSessions = 2;          // lowest cap, in sessions of mean load
+  static constexpr double kMinBackendsForOverflow = 3;  // fewer cannot take over the load of a full one
+  // Extra capacity, in sessions, that the first session of a group must find free. A group costs a backend
+  // more than its members do, so a backend that is short of capacity should rarely accept a new group.
   static constexpr double kNewGroupCost = 11;
 
+  // Empty if the session may not go to the backend.
   std::optional<Tier> tier_of(Session& session, const Backend& backend, double load) const;
+  // As a multiple of the session's load; 0 if the backend already holds the group.
   double new_group_cost(const Session& session, const Backend& backend) const;
   bool is_over_cap(const Backend& backend, double factor) const;
+  // Whether capacity limits hold even for a backend under its load cap.
   bool is_capacity_strict() const;
-  // A large group reconnects at once, at many relays that each know one of it, and the warming-up backend
-  // that ranks first would get it all. So it is spread over the warming-up ones in its order, in parts that
-  // one bears of a group as large as a warm backend's whole load; the rest goes to the warm.
+  // When a large group reconnects at once, each of many relays sees one member, and together they would send
+  // the whole group to the warming-up backend that ranks first. This function spreads the members over the
+  // warming-up backends in rank order. Each backend's share is what it can hold of a group as large as the
+  // whole load of a warm backend; the remaining members go to warm backends.
   void spread_group(Session& session) const;
 
   const BalancerActions& actions_;
--- a/src/balancer/random_source.hpp
+++ b/src/balancer/random_source.hpp
@@ -1,4 +1,4 @@
-// The balancer's only source of chance, the same from the same seed.
+// The balancer's only source of randomness; deterministic for a given seed.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,9 @@
 
   std::uint32_t number() { return static_cast<std::uint32_t>(engine_()); }
   std::uint64_t key();
-  // A time from 0 to `longest`: spreads what many would do in one moment.
+  // A uniform delay from 0 to `longest`, to keep many sessions or relays from acting at the same moment.
   Micros delay_up_to(Micros longest);
-  // A time from half of `longest` to all of it: a backoff with jitter.
+  // A uniform delay from half of `longest` to `longest`, for a backoff with jitter.
   Micros jittered(Micros longest);
 
  private:
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -19,7 +19,7 @@
 double SlowStart::planned_load_factor() const {
   const auto window = static_cast<double>(parameters_.overload_window);
   const auto duration = static_cast<double>(parameters_.slow_start_duration);
-  return kPlannedPart * parameters_.overload_factor * std::min(1.0, window / duration);
+  return kPlannedLoadRatio * parameters_.overload_factor * std::min(1.0, window / duration);
 }
 
 bool SlowStart::may_admit(const Session& session, const Backend& backend, const FleetLoad& fleet_load) const {
@@ -33,25 +33,25 @@
   if (session.preferred_backend != &backend || now < slots_from_) return false;
   const double fleet_capacity = std::max(fleet_load.listed_capacity * fleet_load.mean_utilization, 1e-9);
   if (!session.is_reconnecting)
-    return kPlannedPart * parameters_.overload_factor * fleet_load.ready_capacity >= fleet_capacity;
-  const double bearable = planned_load_factor() * static_cast<double>(fleet_.session_count() + 1);
+    return kPlannedLoadRatio * parameters_.overload_factor * fleet_load.ready_capacity >= fleet_capacity;
+  const double sustainable_sessions = planned_load_factor() * static_cast<double>(fleet_.session_count() + 1);
   const std::int64_t seconds = 1 + parameters_.overload_window / kSecond;
   const double reconnects = arrivals_.recent_reconnects(now, seconds) * fleet_capacity;
   const double draw = uniform_draw(mix_hash(session.client_key), backend.name_hash);
-  return draw * reconnects < bearable * fleet_load.ready_capacity;
+  return draw * reconnects < sustainable_sessions * fleet_load.ready_capacity;
 }
 
 bool SlowStart::has_admission_slot(const Backend& backend, const FleetLoad& fleet_load) const {
   const std::int64_t slot = slot_number(backend);
-  // A relay that has just started sits out a slot that began before.
+  // The predecessor of a relay that has just started may have used a slot that began before.
   if (backend.slow_start.started_at_ + slot * parameters_.overload_window < slots_from_) return false;
   const double relays = parameters_.relay_count;
   const double fleet_capacity = std::max(fleet_load.listed_capacity * fleet_load.mean_utilization, 1e-9);
-  const double by_held = planned_load_factor() * static_cast<double>(fleet_.session_count() + 1);
-  const double new_sessions = kPlannedPart * parameters_.overload_factor * fleet_load.new_session_rate;
-  const double by_new = new_sessions * static_cast<double>(parameters_.overload_window);
-  const double part = factor(backend) * backend.size / fleet_capacity;
-  const double budget = part * relays * std::max(by_held, by_new);
+  const double from_held_sessions = planned_load_factor() * static_cast<double>(fleet_.session_count() + 1);
+  const double new_sessions = kPlannedLoadRatio * parameters_.overload_factor * fleet_load.new_session_rate;
+  const double from_new_sessions = new_sessions * static_cast<double>(parameters_.overload_window);
+  const double capacity_share = factor(backend) * backend.size / fleet_capacity;
+  const double budget = capacity_share * relays * std::max(from_held_sessions, from_new_sessions);
   const auto slots = static_cast<std::int64_t>(std::clamp(budget, 1.0, relays));
   if ((parameters_.relay_index + slot * slots) % parameters_.relay_count >= slots) return false;
   const bool is_current = backend.slow_start.admission_slot_ == slot;
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -1,4 +1,4 @@
-// Slow start: how much a backend that warms up is sent, for the sum of all relays.
+// Slow start: limits the load that all relays together send to a backend that is warming up.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,14 @@
 
 namespace cherryrail {
 
-// Every relay sends a fresh backend a little, and together they may overload it. Relays do not talk to each
-// other, so each keeps to its part by rules on which all agree.
+// If every relay sent a new backend a little load, they might overload it together. Relays do not
+// communicate, so each derives its own share from rules that are the same at every relay.
 //
-// A session may go to the backend that it ranks first: over all relays that is right for the sum, and where
-// reconnecting sessions would come to more, an agreed draw thins them. Every other session needs an admission
-// slot: time since the backend's start is cut into windows, and in each as many relays have a slot as it
-// bears sessions.
+// A session may always go to its preferred backend, since weighted ranking gives the backend the right share
+// of all relays' sessions. If reconnecting sessions would exceed that share, a hash draw that is the same at
+// every relay rejects some of them. Any other session needs an admission slot: the time since the backend's
+// start is divided into windows, and in each window as many relays have a slot as the backend can accept
+// sessions.
 class SlowStart {
  public:
   SlowStart(const BalancerActions& actions, const BalancerParameters& parameters, const Fleet& fleet,
@@ -25,26 +26,29 @@
       : actions_(actions), parameters_(parameters), fleet_(fleet), arrivals_(arrivals),
         slots_from_(actions.now()) {}
 
-  // The share of its full capacity that a backend surely has: from the initial factor up to 1, evenly over
-  // the slow-start duration.
+  // The share of its full capacity that a backend can be relied on to have: rises linearly from the initial
+  // factor to 1 over the slow-start duration.
   double factor(const Backend& backend) const;
-  // Whether the session may be sent to the backend, by the latest measurement of the fleet.
+  // Whether the session may be sent to the backend, given the latest measurement of the fleet.
   bool may_admit(const Session& session, const Backend& backend, const FleetLoad& fleet_load) const;
+  // Counts an attempt against the backend's current admission slot.
   void record_attempt(Backend& backend) const;
-  // What a warming-up backend is sent on purpose within an overload window, of its capacity of the moment.
+  // The load that all relays together plan to send to a warming-up backend within one overload window, as a
+  // share of its current capacity.
   double planned_load_factor() const;
 
-  // A successor has this relay's admission slots from now on.
+  // Stops using admission slots: from now on they belong to this relay's successor.
   void give_up_slots();
   void save(StateSnapshot& snapshot) const { snapshot.admission_slots_from = slots_from_; }
   void restore(const StateSnapshot& snapshot);
 
  private:
-  // Of the overload factor, all that is sent on purpose: the whole of it was measured to overload backends.
-  static constexpr double kPlannedPart = 0.67;
+  // Share of the overload factor up to which load is planned; planning all of it overloaded backends.
+  static constexpr double kPlannedLoadRatio = 0.67;
 
   std::int64_t slot_number(const Backend& backend) const;
-  // Reconnecting sessions: as many as would be borne were they all that is held. New ones: all or none.
+  // Admits as many reconnecting sessions as the backend could hold if it held nothing else. Admits either all
+  // new sessions or none.
   bool may_admit_to_preferred(const Session& session, const Backend& backend,
                               const FleetLoad& fleet_load) const;
   bool has_admission_slot(const Backend& backend, const FleetLoad& fleet_load) const;
@@ -53,7 +57,7 @@
   const BalancerParameters& parameters_;
   const Fleet& fleet_;
   const Arrivals& arrivals_;
-  Micros slots_from_;  // a slot that began earlier belongs to this relay's predecessor, if to any
+  Micros slots_from_;  // slots that began earlier may have been used by this relay's predecessor
 };
 
 }  // namespace cherryrail
