--- a/src/balancer/capacity.cpp
+++ b/src/balancer/capacity.cpp
@@ -68,8 +68,7 @@
   for (const auto& backend : fleet_.backends()) {
     CapacityLimit& limit = backend->capacity;
     const bool is_empty = backend->sessions.empty();
-    // An empty backend that is warming up most likely has no load from other relays, and slow start limits
-    // it.
+    // A warming-up backend without sessions of this relay is most likely empty, and slow start limits it.
     if (is_empty ? slow_start_.factor(*backend) < 1 : limit.is_limited()) continue;
     limit.is_inferred_ = true;  // not evidence of overload, or general overload would sustain itself
     limit.load_at_overload_ = std::max(backend->sessions.load(), fleet_.mean_session_load());
--- a/src/balancer/capacity.hpp
+++ b/src/balancer/capacity.hpp
@@ -27,8 +27,7 @@
   // draw decides, so that all relays accept and reject the same groups.
   bool fits(double held, double load, const Session& session, const Backend& backend) const;
 
-  // Reduces the limit of an overloaded backend to the given share of the load it holds, at most once in 0.9
-  // s.
+  // Reduces an overloaded backend's limit to the given share of the load it holds; at most once in 0.9 s.
   void reduce(Backend& backend, double share);
   // The backend dropped a session. This is a sign of overload only if the backend has other recent failures:
   // single connections break everywhere, and if each counted as overload, all clients would soon be rejected.
@@ -65,8 +64,8 @@
   void restore(const StateSnapshot& snapshot);
 
  private:
-  static constexpr Micros kMinReductionInterval =
-      9 * kSecond / 10;                           // lets a reduction take effect before the next
+  // Lets a reduction take effect before the next one.
+  static constexpr Micros kMinReductionInterval = 9 * kSecond / 10;
   static constexpr double kMinKnownBackends = 3;  // fewer say nothing about the fleet
   // Load, in mean sessions, taken off in addition: a relay with many sessions rounds up the load it sheds,
   // which a relay with one session cannot do.
--- a/src/balancer/load_figures.hpp
+++ b/src/balancer/load_figures.hpp
@@ -24,8 +24,8 @@
   double local_zone_weight = 1;  // rendezvous weight of a backend in this relay's own zone
   double listed_capacity = 0;    // sum of the sizes of all backends that are not gone
   double mean_utilization = 1;   // of the backends that reported one
-  double capacity_left =
-      1;  // share of the load held by recently overloaded backends that their limits allow now
+  // Of the load that recently overloaded backends held, the share that their limits allow now.
+  double capacity_left = 1;
   bool is_any_overloaded = false;
   bool is_most_overloaded = false;  // of the backends about which this relay has information
 };
--- a/src/balancer/placement.hpp
+++ b/src/balancer/placement.hpp
@@ -44,8 +44,8 @@
 
   // Load caps, as multiples of the mean load per capacity.
   static constexpr double kCapFactor = 1.25;
-  static constexpr double kRelaxedCapFactor =
-      2;  // in the local zone at low utilization; during overload, the maximum for any
+  // In the local zone at low utilization; during overload, the maximum for any backend.
+  static constexpr double kRelaxedCapFactor = 2;
   static constexpr double kMinCapSessions = 2;          // lowest cap, in sessions of mean load
   static constexpr double kMinBackendsForOverflow = 3;  // fewer cannot take over the load of a full one
   // Extra capacity, in sessions, that the first session of a group must find free. A group costs a backend
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -14,7 +14,7 @@
 // If every relay sent a new backend a little load, they might overload it together. Relays do not
 // communicate, so each derives its own share from rules that are the same at every relay.
 //
-// A session may always go to its preferred backend, since weighted ranking gives the backend the right share
+// A session may go to its preferred backend, since weighted ranking gives the backend the right share
 // of all relays' sessions. If reconnecting sessions would exceed that share, a hash draw that is the same at
 // every relay rejects some of them. Any other session needs an admission slot: the time since the backend's
 // start is divided into windows, and in each window as many relays have a slot as the backend can accept
--- a/tests/balancer/capacity_test.cpp
+++ b/tests/balancer/capacity_test.cpp
@@ -1,4 +1,4 @@
-// How much load a backend is given, learned from its reports and from broken connections.
+// Capacity limits of backends, learned from their reports and from broken connections.
 #include <gtest/gtest.h>
 
 #include "support/balancer_fixture.hpp"
@@ -20,9 +20,9 @@
   EXPECT_EQ(fixture.final_answers(fixture.request_session(100)), 0u);
 }
 
-// Messages have an objective of their own: a message that misses it earns nothing, however much longer the
-// attempt's objective is.
-TEST(Capacity, TakesMessagesPastTheirObjectiveForOverload) {
+// Messages have an objective of their own: a message that misses it has no value, even if the attempt's
+// objective is much longer.
+TEST(Capacity, TreatsMessagesThatMissTheirObjectiveAsOverload) {
   BalancerConfig config = default_config();
   config.traffic_classes[0].message_latency_objective = 60 * kMillisecond;
   BalancerFixture fixture(2, config);
@@ -31,12 +31,13 @@
   fixture.report_message_latency(*fixture.backends[0], 55 * kMillisecond);
   EXPECT_TRUE(fixture.actions.migrated_sessions.empty());
 
-  fixture.report_message_latency(*fixture.backends[0], 100 * kMillisecond);  // a quarter of the attempt's
+  fixture.report_message_latency(*fixture.backends[0],
+                                 100 * kMillisecond);  // a quarter of the attempt objective
   EXPECT_FALSE(fixture.actions.migrated_sessions.empty());
 }
 
-// A mean of two thirds of the objective is past it for some messages.
-TEST(Capacity, ABackendNearItsMessageObjectiveKeepsItsSessionsAndGetsNoMore) {
+// At a mean latency of two thirds of the objective, some messages miss it.
+TEST(Capacity, ABackendNearItsMessageObjectiveKeepsItsSessionsAndGetsNoNewOnes) {
   BalancerFixture fixture(4);
   fixture.establish_sessions(1, 60);
   Backend& backend = *fixture.backends[0];
@@ -52,7 +53,7 @@
   EXPECT_TRUE(fixture.actions.migrated_sessions.empty() && fixture.actions.rejections.empty());
 }
 
-TEST(Capacity, IsNotReducedByConnectionsThatBreakOneByOne) {
+TEST(Capacity, IsNotReducedBySingleBrokenConnections) {
   BalancerFixture fixture(4);
   fixture.establish_sessions(1, 40);
 
@@ -67,9 +68,9 @@
   EXPECT_TRUE(fixture.actions.migrated_sessions.empty());
 }
 
-// Connections that break in one moment are heard of over some milliseconds; and what a process could not
-// bear tells nothing of the next one.
-TEST(Capacity, ABackendThatDiedAndRestartedGetsSessionsAgain) {
+// Connections that break at the same moment are reported over some milliseconds. After a restart, the limit
+// learned from the previous process no longer applies.
+TEST(Capacity, ARestartedBackendGetsSessionsAgainAfterACrash) {
   BalancerFixture fixture(1);
   Backend& backend = *fixture.backends[0];
   fixture.establish_sessions(1, 10);
@@ -89,8 +90,8 @@
   EXPECT_EQ(backend.sessions.size(), 14u);
 }
 
-// A report of low load gives back what the backend held, and from there the limit only grows; also where the
-// warm-up is short.
+// A report of low load restores the limit to the load held before, and from there the limit only grows, also
+// with a short slow-start duration.
 TEST(Capacity, IsNeverReducedByReportsOfLowLoad) {
   BalancerConfig config = default_config();
   config.slow_start_duration = kSecond;
@@ -105,7 +106,7 @@
   fixture.actions.advance(3300 * kMillisecond);
   for (int i = 0; i < 10; ++i) fixture.establish_session(group);
   const std::size_t rejected = fixture.actions.rejections.size();
-  EXPECT_GT(rejected, 0u);  // three warm-ups are too short for the overload to pass by itself
+  EXPECT_GT(rejected, 0u);  // more than three slow-start durations are too short to recover without reports
 
   for (int i = 0; i < 12; ++i) {
     fixture.actions.advance(kSecond);
@@ -115,12 +116,12 @@
   EXPECT_EQ(fixture.actions.rejections.size(), rejected);
 }
 
-// A rush of attempts makes messages late for a moment; the report after it shows that the backend bears more.
-TEST(Capacity, AReportAfterARushRestoresWhatTheRushHadReduced) {
-  const auto rejected = [](Micros time_before_the_rush_shows) {
+// A burst of attempts delays messages for a moment; the report after it shows that the backend has capacity.
+TEST(Capacity, AReportOfSpareCapacityRestoresTheLimitReducedByABurst) {
+  const auto rejected = [](Micros time_before_burst) {
     BalancerFixture fixture(1);
     fixture.establish_sessions(1, 20);
-    fixture.actions.advance(time_before_the_rush_shows);
+    fixture.actions.advance(time_before_burst);
     fixture.balancer.on_message_latency_reported(*fixture.sessions[0], 200 * kMillisecond);
     fixture.end_migrated_sessions();
     fixture.actions.advance(100 * kMillisecond);
@@ -133,10 +134,10 @@
   };
 
   EXPECT_EQ(rejected(3 * kSecond), 0u);
-  EXPECT_GE(rejected(0), 3u);  // that report may be of a time before the rush
+  EXPECT_GE(rejected(0), 3u);  // the report may have been taken before the burst
 }
 
-TEST(Capacity, ANearlyFullBackendKeepsItsSessionsAndAnOverfullOneDoesNot) {
+TEST(Capacity, ANearlyFullBackendKeepsItsSessionsAndAnOverloadedOneShedsSome) {
   BalancerFixture fixture(1);
   fixture.establish_sessions(1, 20);
 
@@ -149,8 +150,8 @@
   EXPECT_FALSE(fixture.actions.migrated_sessions.empty());
 }
 
-// One of many relays sees little of each backend.
-TEST(Capacity, OneBrokenSessionDoesNotCloseItsBackendForGood) {
+// One of many relays holds few sessions on each backend.
+TEST(Capacity, OneBrokenSessionDoesNotExcludeItsBackendPermanently) {
   BalancerFixture fixture(40);
   Session& session = fixture.establish_session(5);
   Backend& backend = *session.backend;
--- a/tests/balancer/fleet_slow_start_test.cpp
+++ b/tests/balancer/fleet_slow_start_test.cpp
@@ -1,5 +1,5 @@
-// What all relays together send to backends that warm up: many balancers, each with surroundings of its own.
-// Each of them may decide rightly by itself while their sum overloads a backend.
+// The load that all relays together send to warming-up backends. Runs many balancers, each with its own
+// fixture: each may be right by itself while all together overload a backend.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,12 +16,12 @@
 namespace cherryrail::testing {
 namespace {
 
-// Below it, chance has a larger part in the limit.
+// Expected count below which the limit allows more for random variation.
 constexpr double kSmallCount = 30;
 
 struct FleetConfig {
   unsigned relay_count = 100;
-  unsigned configured_relay_count = 0;  // what the relays' configuration says; 0: the truth
+  unsigned configured_relay_count = 0;  // in the relays' configuration; 0: the actual count
   std::size_t session_count = 1500;
   std::size_t warm_backends = 40;
   std::size_t new_backends = 40;
@@ -33,8 +33,8 @@
   unsigned seed = 1;
 };
 
-// A fleet in which a warm backend is full at 1.6 times its mean number of sessions. Half of the backends are
-// replaced, and all of their sessions reconnect at once, at any relay.
+// A fleet in which a warm backend is full at 1.6 times the mean number of sessions. Half of the backends are
+// replaced, and all of their sessions reconnect at once, at random relays.
 class FleetScenario {
  public:
   explicit FleetScenario(const FleetConfig& config) : config_(config), random_(config.seed) {
@@ -56,13 +56,14 @@
     reconnect();
   }
 
-  // The part of the reconnecting sessions that reached a new backend.
-  double part_to_new_backends() const {
+  // The share of the reconnecting sessions that reached a new backend.
+  double share_to_new_backends() const {
     return static_cast<double>(sent_to_new_backends_) / static_cast<double>(reconnecting_);
   }
 
-  // The most that a new backend was sent in a window, as a share of the limit: the expected count N, and for
-  // chance twice its root and two.
+  // The highest number of sessions that a new backend was sent in a window, as a share of the limit: the
+  // expected count N plus, for random variation, two square roots of N plus two (three and three below
+  // kSmallCount).
   double highest_share_of_limit() const {
     double highest = 0;
     for (const auto& [backend, times] : attempt_times_) {
@@ -89,7 +90,7 @@
     }
   }
 
-  // The groups' sizes are as 1, 1/2, 1/3 ... of the largest.
+  // The groups have sizes of 1, 1/2, 1/3 ... of the largest.
   void make_groups() {
     for (std::size_t group = 1; groups_.size() < config_.session_count; ++group) {
       const std::size_t size = std::max<std::size_t>(1, config_.largest_group / group);
@@ -99,7 +100,7 @@
     std::shuffle(groups_.begin(), groups_.end(), random_);
   }
 
-  // Over the first second or so; a client that is rejected comes again.
+  // Spread over about one second; rejected clients retry.
   void reconnect() {
     std::vector<std::size_t> waiting;
     for (std::size_t i = 0; i < config_.session_count; ++i) {
@@ -109,8 +110,8 @@
     for (int step = 0; step < 40; ++step) {
       std::vector<std::size_t> still_waiting;
       for (const std::size_t index : waiting) {
-        const bool comes_later = step < 10 && random_() % 4 != 0;
-        if (comes_later || !request_session(index, true)) still_waiting.push_back(index);
+        const bool is_delayed = step < 10 && random_() % 4 != 0;
+        if (is_delayed || !request_session(index, true)) still_waiting.push_back(index);
       }
       waiting = still_waiting;
       for (auto& relay : relays_) relay->actions.advance(100 * kMillisecond);
@@ -158,14 +159,15 @@
   Micros new_backends_started_at_ = 0;
 };
 
-// If each relay spares the new backends because of what the others might send, the old ones are overloaded,
-// and what they reject overloads them again. The new backends' weighted part is more than a third.
-TEST(FleetSlowStart, NewBackendsGetTheirPartOfTheSessionsOfAReleaseFromAnyNumberOfRelays) {
+// If each relay held back from the new backends because of what others might send, the old ones would be
+// overloaded, and again by retries of the sessions they reject. The new backends' weighted share is above
+// 1/3.
+TEST(FleetSlowStart, NewBackendsGetTheirShareOfReconnectsAfterAReleaseWithAnyNumberOfRelays) {
   for (unsigned seed = 1; seed <= 3; ++seed) {
     for (const unsigned relay_count : {30u, 100u, 350u}) {
       FleetScenario fleet({.relay_count = relay_count, .seed = seed});
       fleet.run();
-      EXPECT_GT(fleet.part_to_new_backends(), 0.25) << relay_count << " relays, seed " << seed;
+      EXPECT_GT(fleet.share_to_new_backends(), 0.25) << relay_count << " relays, seed " << seed;
     }
   }
 }
@@ -175,7 +177,7 @@
 TEST_P(FleetSlowStartLimit, NoNewBackendIsSentMoreThanTheLimitByAllRelaysTogether) {
   const auto [relay_count, seed] = GetParam();
   double highest = 0;
-  const auto play = [&highest, seed = seed](FleetConfig config, const char* what) {
+  const auto run_scenario = [&highest, seed = seed](FleetConfig config, const char* what) {
     config.seed = seed;
     FleetScenario fleet(config);
     fleet.run();
@@ -183,54 +185,55 @@
     EXPECT_LE(fleet.highest_share_of_limit(), 1) << what;
   };
 
-  play({.relay_count = relay_count}, "even traffic");
-  play({.relay_count = relay_count, .is_uneven = true}, "uneven traffic");
-  play({.relay_count = relay_count, .configured_relay_count = std::max(1u, relay_count / 2)},
-       "half of the relays configured");
-  play({.relay_count = relay_count, .configured_relay_count = 2 * relay_count},
-       "twice the relays configured");
-  play({.relay_count = relay_count, .new_backends = 3}, "three new backends");
-  play({.relay_count = relay_count, .new_backends = 1, .is_uneven = true}, "one new backend, uneven traffic");
-  play({.relay_count = relay_count, .slow_start_duration = 24 * kSecond, .initial_factor = 0.13},
-       "slow to warm up");
+  run_scenario({.relay_count = relay_count}, "even traffic");
+  run_scenario({.relay_count = relay_count, .is_uneven = true}, "uneven traffic");
+  run_scenario({.relay_count = relay_count, .configured_relay_count = std::max(1u, relay_count / 2)},
+               "half of the relays configured");
+  run_scenario({.relay_count = relay_count, .configured_relay_count = 2 * relay_count},
+               "twice the relays configured");
+  run_scenario({.relay_count = relay_count, .new_backends = 3}, "three new backends");
+  run_scenario({.relay_count = relay_count, .new_backends = 1, .is_uneven = true},
+               "one new backend, uneven traffic");
+  run_scenario({.relay_count = relay_count, .slow_start_duration = 24 * kSecond, .initial_factor = 0.13},
+               "slow to warm up");
   std::printf("highest share of the limit: %.0f%%\n", 100 * highest);
 }
 
-// A site at its first size: the limit binds there, too.
+// The limit also holds for a small new site.
 TEST_P(FleetSlowStartLimit, NoNewBackendOfASmallFleetIsSentMoreThanTheLimit) {
   const auto [relay_count, seed] = GetParam();
-  const auto play = [seed = seed](FleetConfig config, const char* what) {
+  const auto run_scenario = [seed = seed](FleetConfig config, const char* what) {
     config.seed = seed;
     FleetScenario fleet(config);
     fleet.run();
     EXPECT_LE(fleet.highest_share_of_limit(), 1) << what;
   };
 
-  play({.relay_count = relay_count,
-        .session_count = 200,
-        .warm_backends = 8,
-        .new_backends = 4,
-        .largest_group = 6},
-       "half as many new");
-  play({.relay_count = relay_count,
-        .session_count = 200,
-        .warm_backends = 8,
-        .new_backends = 1,
-        .largest_group = 6},
-       "one new");
-  play({.relay_count = relay_count,
-        .session_count = 60,
-        .warm_backends = 4,
-        .new_backends = 2,
-        .largest_group = 3},
-       "a few sessions");
-  play({.relay_count = relay_count,
-        .session_count = 1000,
-        .warm_backends = 6,
-        .new_backends = 1,
-        .largest_group = 20,
-        .initial_factor = 0.13},
-       "cold");
+  run_scenario({.relay_count = relay_count,
+                .session_count = 200,
+                .warm_backends = 8,
+                .new_backends = 4,
+                .largest_group = 6},
+               "half as many new");
+  run_scenario({.relay_count = relay_count,
+                .session_count = 200,
+                .warm_backends = 8,
+                .new_backends = 1,
+                .largest_group = 6},
+               "one new");
+  run_scenario({.relay_count = relay_count,
+                .session_count = 60,
+                .warm_backends = 4,
+                .new_backends = 2,
+                .largest_group = 3},
+               "a few sessions");
+  run_scenario({.relay_count = relay_count,
+                .session_count = 1000,
+                .warm_backends = 6,
+                .new_backends = 1,
+                .largest_group = 20,
+                .initial_factor = 0.13},
+               "cold");
 }
 
 INSTANTIATE_TEST_SUITE_P(RelaysAndSeeds, FleetSlowStartLimit,
--- a/tests/balancer/latency_outliers_test.cpp
+++ b/tests/balancer/latency_outliers_test.cpp
@@ -1,4 +1,4 @@
-// Backends and zone paths that are slow whatever their load is.
+// Backends and network paths to zones that are slow independently of their load.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,8 +20,8 @@
   }
 }
 
-// A hanging process, or a path that is slow for this relay alone: shedding a part of the load again and
-// again helps nobody.
+// With a hanging process, or a network path that is slow for this relay alone, shedding a part of the load
+// again and again does not help.
 TEST(LatencyOutliers, MigratesAllSessionsWhoseObjectiveAConstantlySlowBackendCannotMeet) {
   BalancerConfig config = default_config();
   config.traffic_classes.push_back(config.traffic_classes[0]);
@@ -50,9 +50,9 @@
   EXPECT_EQ(fixture.attempts_to(slow), attempts);
 }
 
-// Two backends of six are in time: measured beside the slow ones they seem full, and the first reports look
-// like general overload.
-TEST(LatencyOutliers, TheFewBackendsInTimeTakeOverFromTheSlowOnes) {
+// Two backends of six meet the objective. Measured together with the slow ones they seem full, and the first
+// reports look like general overload.
+TEST(LatencyOutliers, TheFewBackendsThatMeetTheObjectiveTakeOverFromTheSlowOnes) {
   BalancerFixture fixture(6);
   fixture.establish_sessions(1, 36);
   const auto was_migrated = [&](const Session* session) {
@@ -81,7 +81,7 @@
   EXPECT_LE(fixture.actions.rejections.size(), 2u);
 }
 
-TEST(LatencyOutliers, TakesLatencyThatRisesAndFallsForLoadAndShedsAPart) {
+TEST(LatencyOutliers, TreatsVaryingLatencyAsOverloadAndShedsAPartOfTheLoad) {
   BalancerFixture fixture(3);
   fixture.establish_sessions(1, 40);
 
@@ -97,7 +97,7 @@
   EXPECT_LT(queued, std::ssize(fixture.backends[0]->sessions));
 }
 
-TEST(LatencyOutliers, AvoidsABackendThatRelapsesLongerEachTimeButNotForGood) {
+TEST(LatencyOutliers, AvoidsARelapsingBackendLongerEachTimeButNotPermanently) {
   BalancerFixture fixture(3);
   Backend& relapsing = *fixture.backends[0];
   std::vector<Micros> avoided_for;
@@ -131,9 +131,9 @@
   EXPECT_LT(avoided_for[2], 30 * kSecond);
 }
 
-// All backends in another zone are late by the same time: none of them is at fault, and the untried ones
-// there would be no better.
-TEST(LatencyOutliers, AvoidsAZoneWhosePathIsSlowForAWhileOnly) {
+// All backends in another zone are slow by the same latency: none of them is at fault, and the untried ones
+// there would be as slow.
+TEST(LatencyOutliers, AvoidsAZoneBehindASlowPathOnlyForAWhile) {
   BalancerFixture fixture(0);
   for (unsigned i = 0; i < 12; ++i) fixture.add_backend(0, i % 2);
   fixture.establish_sessions(1, 12);
@@ -155,9 +155,9 @@
   EXPECT_GT(attempts_in_slow_zone(), before);
 }
 
-// One round of reports is enough where all backends of a zone report the same: the overload that each by
-// itself looks like is taken back.
-TEST(LatencyOutliers, TakesEqualLatencyInAWholeZoneForItsPathAndDifferentForLoad) {
+// One round of reports is enough if all backends of a zone report the same latency: the limits reduced for
+// the overload that each seemed to have are removed.
+TEST(LatencyOutliers, TreatsEqualLatencyInAZoneAsASlowPathAndDifferingLatencyAsLoad) {
   const auto places_in_slow_zone = [](Micros difference) {
     BalancerFixture fixture(0);
     for (unsigned i = 0; i < 12; ++i) fixture.add_backend(0, i % 2);
--- a/tests/balancer/overload_test.cpp
+++ b/tests/balancer/overload_test.cpp
@@ -1,4 +1,5 @@
-// Whom a relay serves while many backends are overloaded, and what it infers of those it has not heard from.
+// Which sessions a relay serves while many backends are overloaded, and what it infers about unknown
+// backends.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +11,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(Overload, WhileMostBackendsAreOverloadedTheOthersGetNoRush) {
+TEST(Overload, WhileMostBackendsAreOverloadedTheOthersGetNoAdditionalLoad) {
   BalancerFixture fixture(4);
   fixture.establish_sessions(1, 24);
   for (std::size_t i = 0; i < 3; ++i) fixture.report_message_latency(*fixture.backends[i], kSecond);
@@ -21,7 +22,7 @@
   EXPECT_LE(fixture.backends[3]->sessions.size(), before);
 }
 
-// Nor do the few that are not overloaded get everything while the others run nearly empty.
+// The few backends that are not overloaded must not get all load while the others run nearly empty.
 TEST(Overload, SharesShedLoadWithinTheCap) {
   BalancerFixture fixture(4);
   fixture.establish_sessions(1, 40);
@@ -41,8 +42,8 @@
   EXPECT_GT(fixture.backends[0]->sessions.size() + fixture.backends[1]->sessions.size(), held / 4);
 }
 
-// Every backend that holds a member of a group pays for the whole group.
-TEST(Overload, KeepsAGroupWhereItIs) {
+// Every backend that holds a member of a group bears the cost of the whole group.
+TEST(Overload, KeepsAGroupOnItsBackend) {
   BalancerFixture fixture(2);
   fixture.establish_sessions(1, 40);
   for (const auto& backend : fixture.backends) fixture.report_message_latency(*backend, 300 * kMillisecond);
@@ -75,8 +76,8 @@
   EXPECT_EQ(fixture.final_answers(establish(1, fixture.backends[1]->sessions[0]->client_key)), 0u);
 }
 
-// Thirty relays with one session each on one overloaded backend: not all of them migrate it, and members of
-// one group stay or go together.
+// Thirty relays hold one session each on one overloaded backend. Not all of them migrate it, and members of
+// one group are kept or migrated together.
 TEST(Overload, RelaysWithOneSessionEachShedTheSameGroups) {
   std::map<std::uint64_t, std::set<bool>> was_migrated;
   for (std::uint64_t relay = 0; relay < 30; ++relay) {
@@ -94,7 +95,7 @@
   EXPECT_LE(migrated_groups, 5u);
 }
 
-// A relay that knows few backends, most of them overloaded, takes the unknown to be no better.
+// A relay that knows few backends, most of them overloaded, assumes the same of the unknown ones.
 TEST(Overload, InfersTheCapacityOfUnknownBackendsFromTheKnown) {
   const auto rejected = [](bool overloaded) {
     BalancerFixture fixture(40);
@@ -113,10 +114,10 @@
 
   EXPECT_EQ(rejected(false), 0u);
   EXPECT_GE(rejected(true), 10u);
-  EXPECT_LE(rejected(true), 38u);  // but it does not shut them out
+  EXPECT_LE(rejected(true), 38u);  // but it does not exclude them
 }
 
-// A release during the same overload: a backend that has just started is empty, and would stay so if its
+// A release during such an overload: a backend that has just started is empty, and would stay empty if its
 // capacity were inferred from the others.
 TEST(Overload, InfersNothingForBackendsThatHaveJustStarted) {
   BalancerFixture fixture(3);
@@ -135,8 +136,8 @@
   EXPECT_EQ(rejected, 0u);
 }
 
-// A relay that has just started knows one backend, by a health check that found it overloaded.
-TEST(Overload, OneReportDoesNotCloseARelayThatHasJustStarted) {
+// A relay that has just started knows one backend, which a health check found overloaded.
+TEST(Overload, OneOverloadReportDoesNotMakeAStartingRelayRejectClients) {
   BalancerFixture fixture(9);
   fixture.report_utilization(*fixture.backends[4], 0.96, 10 * kMillisecond);
 
@@ -145,8 +146,8 @@
   EXPECT_LE(fixture.actions.rejections.size(), 1u);
 }
 
-// Reports of low load are knowledge too: two overloaded backends of six heard from are no general overload.
-TEST(Overload, ReportsOfLowLoadSpeakAgainstGeneralOverload) {
+// Backends that report low load count as known: two overloaded of six known ones are no general overload.
+TEST(Overload, ReportsOfLowLoadPreventGeneralOverload) {
   BalancerFixture fixture(6);
   for (std::size_t i = 0; i < 6; ++i) {
     const bool is_overloaded = i == 0 || i == 5;
--- a/tests/balancer/placement_test.cpp
+++ b/tests/balancer/placement_test.cpp
@@ -1,4 +1,4 @@
-// Which backend a new session is placed on, by its key, by load and by zone.
+// Placement of new sessions on backends by key, load and zone.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(Placement, SendsAKeyToTheSameBackendAtEveryRelay) {
+TEST(Placement, SelectsTheSameBackendForAKeyAtEveryRelay) {
   BalancerFixture first_relay(8);
   BalancerFixture second_relay(8);
 
@@ -19,7 +19,7 @@
   }
 }
 
-TEST(Placement, SpreadsAHotKeyOnceItsFirstBackendsReachTheirCap) {
+TEST(Placement, SpreadsAHotKeyOnceItsPreferredBackendsReachTheirCap) {
   BalancerFixture fixture(8);
 
   std::set<const Backend*> used;
@@ -30,7 +30,7 @@
     EXPECT_LE(backend->sessions.size(), backend->zone == 0 ? 11u : 8u);  // the relay's own zone may hold more
 }
 
-TEST(Placement, FavoursItsOwnZoneOnlyWhileThatReportsLowLoad) {
+TEST(Placement, PrefersTheLocalZoneOnlyAtLowUtilization) {
   const auto sessions_in_own_zone = [](double utilization) {
     BalancerFixture fixture(0, zone_aware_config());
     for (unsigned i = 0; i < 6; ++i) fixture.add_backend(0, i % 2);
@@ -50,8 +50,8 @@
   EXPECT_LT(sessions_in_own_zone(0.6), 80u);
 }
 
-// A zone with one backend of ten would be overloaded by its own clients alone.
-TEST(Placement, LimitsItsOwnZoneToAFewTimesItsPartOfTheFleet) {
+// A zone with one of ten backends would be overloaded by its own clients alone.
+TEST(Placement, LimitsTheLocalZoneToAFewTimesItsShareOfTheFleet) {
   BalancerFixture fixture(0, zone_aware_config());
   for (unsigned i = 0; i < 20; ++i) fixture.add_backend(0, i < 2 ? 0 : 1);
 
@@ -64,9 +64,9 @@
   EXPECT_LE(in_own_zone, 35u);
 }
 
-// A release takes all of the relay's zone but one, which must not be given what five held, nor may a client
-// be rejected.
-TEST(Placement, SendsMostSessionsToOtherZonesOnceOneBackendIsLeftInItsOwn) {
+// A release drains all but one backend of the local zone. The one left must not receive the load of all five,
+// and no client may be rejected.
+TEST(Placement, SendsMostSessionsToOtherZonesWhenOneLocalBackendIsLeft) {
   BalancerFixture fixture(0, zone_aware_config());
   for (unsigned i = 0; i < 10; ++i) fixture.add_backend(0, i % 2);
   for (std::uint64_t key = 1; key <= 40; ++key)
@@ -81,7 +81,7 @@
   for (std::size_t i = 1; i < 10; i += 2) EXPECT_GE(fixture.backends[i]->sessions.size(), 3u);
 }
 
-// The clients of a relay that went away come all at once; they would overload this relay's own zone.
+// All clients of a stopped relay reconnect at once and would overload this relay's own zone.
 TEST(Placement, SpreadsAReconnectStormOverAllZones) {
   BalancerFixture fixture(0, zone_aware_config());
   for (unsigned i = 0; i < 6; ++i) fixture.add_backend(0, i % 3);
@@ -96,7 +96,7 @@
   EXPECT_GE(fixture.backends[0]->sessions.size() + fixture.backends[3]->sessions.size(), 18u);
 }
 
-// As large as endpoint lists may be, with as many relays.
+// Uses the largest supported endpoint list and as many relays.
 TEST(Placement, PlacesAndMigratesSessionsAmongTwelveHundredBackendsInAsManyZones) {
   constexpr std::size_t kBackends = 1200;
   BalancerConfig config = zone_aware_config();
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// What a backend that has just started is given while it warms up, by one relay and by all together.
+// The load sent to a backend while it warms up, by one relay and by all relays together.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(SlowStart, GivesAWarmingUpBackendARisingShare) {
+TEST(SlowStart, IncreasesTheShareOfAWarmingUpBackendOverTime) {
   BalancerFixture fixture(3);
   Backend& warming_up = fixture.add_backend(fixture.actions.current_time - 2 * kSecond);
   const auto attempts_for_the_same_keys = [&] {
@@ -31,7 +31,7 @@
   EXPECT_GT(late, 2 * early);
 }
 
-TEST(SlowStart, TreatsABackendThatRestartedAsWarmingUp) {
+TEST(SlowStart, TreatsARestartedBackendAsWarmingUp) {
   BalancerFixture fixture(1);
   fixture.establish_session(1);
 
@@ -42,8 +42,8 @@
   EXPECT_EQ(fixture.final_answers(fixture.request_session(3)), 1u);
 }
 
-// An admission slot of this time may have been used by the process before.
-TEST(SlowStart, ARelayThatHasJustStartedSkipsTheAdmissionSlotUnderWay) {
+// The predecessor process may already have used the current admission slot.
+TEST(SlowStart, AStartingRelaySkipsTheCurrentAdmissionSlot) {
   BalancerFixture fixture(0);
   fixture.add_backend(fixture.actions.current_time - kSecond);
 
@@ -53,7 +53,7 @@
   EXPECT_EQ(fixture.final_answers(fixture.request_session(2)), 0u);
 }
 
-// All relays together must keep the limit in each of its windows, though none knows of the others.
+// All relays together must keep the limit in every window, without communicating.
 TEST(SlowStart, KeepsTheAdmissionLimitOverAllRelaysTogether) {
   BalancerConfig config = default_config();
   config.relay_count = 4;
@@ -90,10 +90,11 @@
   }
 }
 
-// A release replaces half of the fleet at once while new clients are few, and a hundred relays hold little
-// each. By admission slots alone the new backends would stay empty while the old ones are overloaded: the
-// part due by their slow start factor must reach them from all relays together, and not much more.
-TEST(SlowStart, GivesReplacedBackendsTheirWeightedPartOfReconnectsFromAHundredRelays) {
+// A release replaces half of the fleet at once, while there are few new clients and each of a hundred relays
+// holds few sessions. With admission slots alone, the new backends would stay empty while the old ones are
+// overloaded. All relays together must send them the share that their slow-start factor allows, and not much
+// more.
+TEST(SlowStart, SendsReplacedBackendsTheirWeightedShareOfReconnectsFromAHundredRelays) {
   BalancerConfig config = default_config();
   config.relay_count = 100;
   std::size_t to_warming_up = 0;
@@ -118,15 +119,15 @@
   }
 
   const double part = static_cast<double>(to_warming_up) / static_cast<double>(reconnects);
-  const double due = 0.44 / (1 + 0.44);  // six seconds of a warm-up of twenty, from a fifth up
+  const double due = 0.44 / (1 + 0.44);  // after 6 s of a slow start of 20 s with an initial factor of 0.2
   EXPECT_GT(part, 0.8 * due);
   EXPECT_LT(part, 1.2 * due);
   EXPECT_EQ(rejected, 0u);
 }
 
-// A drained backend's group reconnects at two hundred relays within one second, and the backend that it
-// ranks first is warming up.
-TEST(SlowStart, LetsInFewOfAGroupThatReconnectsAtManyRelaysAtOnce) {
+// The group of a drained backend reconnects at two hundred relays within one second, and its preferred
+// backend is warming up.
+TEST(SlowStart, AdmitsFewMembersOfAGroupThatReconnectsAtManyRelays) {
   const auto attempts = [](bool is_reconnecting) {
     BalancerConfig config = default_config();
     config.relay_count = 200;
@@ -149,12 +150,12 @@
 
   EXPECT_GE(attempts(true), 1u);
   EXPECT_LE(attempts(true), 25u);
-  EXPECT_GE(attempts(false), attempts(true));  // new clients come singly
+  EXPECT_GE(attempts(false), attempts(true));  // new clients arrive one at a time
 }
 
-// The same while the other backends stay in service: each relay knows one client of the group, so none can
-// tell how large the group is.
-TEST(SlowStart, LetsInFewOfALargeGroupThatRanksAWarmingUpBackendFirst) {
+// The same while the other backends stay in service. Each relay sees one client of the group, so none knows
+// how large the group is.
+TEST(SlowStart, AdmitsFewMembersOfALargeGroupWhosePreferredBackendIsWarmingUp) {
   BalancerConfig config = default_config();
   config.relay_count = 100;
   const auto attempts = [&config](std::uint64_t group, bool is_reconnecting) {
@@ -169,7 +170,7 @@
     return fixture.attempts_to(warming_up);
   };
   std::uint64_t group = 1;
-  while (attempts(group, false) == 0) ++group;  // a group whose new clients are let in one by one
+  while (attempts(group, false) == 0) ++group;  // finds a group whose new clients are admitted
 
   std::size_t reconnecting = 0;
   std::size_t new_clients = 0;
@@ -180,7 +181,7 @@
 
   EXPECT_GT(new_clients, 2 * reconnecting);
   EXPECT_GE(reconnecting, 1u);
-  // Two thirds of the multiple times the slow start factor of the twenty clients due to each backend.
+  // 0.67 (planned share) of the overload factor times the slow-start factor of twenty clients per backend.
   EXPECT_LE(reconnecting, 8u);
 }
 
