--- a/src/balancer/latency_outliers.hpp
+++ b/src/balancer/latency_outliers.hpp
@@ -38,7 +38,7 @@
   // attempts that fail on the path do not count against its backends.
   void evaluate_path(unsigned zone);
   ZoneReports reports_of(unsigned zone) const;
-  // Whether the backend is ready and holds sessions, and its latest report is not of a slow message.
+  // Whether the backend is ready, holds sessions and has no recent report of a slow message.
   bool meets_objective(const Backend& backend) const;
 
   BalancerActions& actions_;
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -16,9 +16,9 @@
 //
 // A session may go to its preferred backend, since weighted ranking gives the backend the right share
 // of all relays' sessions. If reconnecting sessions would exceed that share, a hash draw that is the same at
-// every relay rejects some of them. Any other session needs an admission slot: the time since the backend's
-// start is divided into windows, and in each window as many relays have a slot as the backend can accept
-// sessions.
+// every relay holds some of them back. Any other session needs an admission slot: the time since the
+// backend's start is divided into windows, and in each window as many relays have a slot as the backend can
+// accept sessions.
 class SlowStart {
  public:
   SlowStart(const BalancerActions& actions, const BalancerParameters& parameters, const Fleet& fleet,
