--- a/src/config/site_settings.cpp
+++ b/src/config/site_settings.cpp
@@ -140,7 +140,7 @@
 void read_domain(const SettingsReader& reader, SiteSettings& settings) {
   settings.is_session_load_reported = reader.flag("domain.tells_load");
   settings.is_message_latency_reported = reader.flag("domain.tells_delay");
-  settings.keys_name_groups = reader.flag("domain.groups");
+  settings.key_field_identifies_group = reader.flag("domain.groups");
 }
 
 void read_timeouts(const SettingsReader& reader, SiteSettings& settings) {
--- a/src/config/site_settings.hpp
+++ b/src/config/site_settings.hpp
@@ -24,7 +24,7 @@
   bool is_session_load_reported = false;
   bool is_message_latency_reported = false;
 
-  bool keys_name_groups = false;  // a session's key names its group, not its client
+  bool key_field_identifies_group = false;  // a session's key names its group, not its client
 
   std::vector<std::string> traffic_class_names;
   std::vector<std::string> tenant_names;
--- a/src/proxy/open_request_reader.cpp
+++ b/src/proxy/open_request_reader.cpp
@@ -65,7 +65,7 @@
 void OpenRequestReader::read_keys(ProxySession& session) const {
   session.client_key = session.request().flow_key();
   const std::uint64_t key = protocol::parse_key(session.request().value("g"));
-  if (settings_.keys_name_groups) {
+  if (settings_.key_field_identifies_group) {
     session.group_key = key;
   } else if (key != 0) {
     session.client_key = key;
