--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -1,4 +1,4 @@
-// What is wrong with a configuration: thrown while it is read, shown to the operator as it is.
+// Configuration errors: thrown while the configuration is read, and shown to the operator verbatim.
 #pragma once
 
 #include <cstdint>
@@ -8,51 +8,52 @@
 
 namespace cherryrail::config {
 
-// Where a faulty value comes from.
+// Where an invalid value comes from.
 enum class ConfigSource : std::uint8_t { file, setting, environment };
 
-// A value with its key: a path such as profiles.0.payoff for a setting, the name of a variable for the
-// environment, empty where the configuration as a whole is meant.
+// A value with its key: the path of a setting, such as profiles.0.payoff, or the name of an environment
+// variable. The key is empty if the error concerns the whole configuration.
 struct ConfigValue {
   std::string_view key;
   std::string_view value;
 };
 
-// what() is the whole text for the operator: the key, unless it is empty, and the problem.
+// what() is the complete message for the operator: the key, unless it is empty, and the problem.
 class ConfigError : public std::runtime_error {
  public:
-  ConfigError(ConfigSource where, const ConfigValue& fault, std::string_view problem)
-      : std::runtime_error(describe(where, fault.key, problem)), where_(where), key_(fault.key),
-        value_(fault.value) {}
+  ConfigError(ConfigSource source, const ConfigValue& invalid, std::string_view problem)
+      : std::runtime_error(describe(source, invalid.key, problem)), source_(source), key_(invalid.key),
+        value_(invalid.value) {}
 
-  ConfigSource where() const { return where_; }
+  ConfigSource source() const { return source_; }
   const std::string& key() const { return key_; }
-  const std::string& value() const { return value_; }  // as it was found; empty if it is missing
+  const std::string& value() const { return value_; }  // as read; empty if it is missing
 
  private:
-  static std::string describe(ConfigSource where, std::string_view key, std::string_view problem) {
+  static std::string describe(ConfigSource source, std::string_view key, std::string_view problem) {
     if (key.empty()) return std::string(problem);
-    std::string text = where == ConfigSource::setting ? "setting " : "";
+    std::string text = source == ConfigSource::setting ? "setting " : "";
     text.append(key).append(": ").append(problem);
     return text;
   }
 
-  ConfigSource where_;
+  ConfigSource source_;
   std::string key_;
   std::string value_;
 };
 
-// The configuration could not be read just now, or ends half-way: the next reading may find it whole.
+// The configuration is temporarily unreadable or incomplete, for example while the file is being written. A
+// later read may succeed.
 class IncompleteConfigError : public ConfigError {
  public:
-  IncompleteConfigError(const ConfigValue& fault, std::string_view problem)
-      : ConfigError(ConfigSource::file, fault, problem) {}
+  IncompleteConfigError(const ConfigValue& invalid, std::string_view problem)
+      : ConfigError(ConfigSource::file, invalid, problem) {}
 };
 
-// The problem of a value that is of the wrong kind: "'much' is not a number".
-inline std::string is_not(std::string_view value, std::string_view wanted) {
+// The problem text for a value of the wrong kind, such as "'much' is not a number".
+inline std::string describe_mismatch(std::string_view value, std::string_view expected) {
   std::string problem = "'";
-  problem.append(value).append("' is not ").append(wanted);
+  problem.append(value).append("' is not ").append(expected);
   return problem;
 }
 
--- a/src/config/descriptor_limit.hpp
+++ b/src/config/descriptor_limit.hpp
@@ -1,12 +1,12 @@
-// The process's limit on open descriptors.
+// The process's limit on open file descriptors (RLIMIT_NOFILE).
 #pragma once
 
 #include <cstddef>
 
 namespace cherryrail::config {
 
-// Raises the limit as far as is wanted and the system allows; returns how many of the wanted descriptors the
-// process may hold then. Called at the start and after the configuration is read again.
-std::size_t raise_descriptor_limit(std::size_t wanted);
+// Raises the soft limit to `requested` descriptors, capped at the hard limit. Returns how many of the
+// requested descriptors the process may open. Called at startup and after each configuration reload.
+std::size_t raise_descriptor_limit(std::size_t requested);
 
 }  // namespace cherryrail::config
--- a/src/config/flat_settings.cpp
+++ b/src/config/flat_settings.cpp
@@ -16,11 +16,11 @@
 
 std::string text_of(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
 
-bool holds_objects(const json& list) {
+bool contains_objects(const json& list) {
   return std::any_of(list.begin(), list.end(), [](const json& item) { return item.is_object(); });
 }
 
-std::string joined(const json& list) {
+std::string join_with_commas(const json& list) {
   std::string text;
   for (const json& item : list) {
     if (&item != &list.front()) text += ',';
@@ -29,16 +29,16 @@
   return text;
 }
 
-// NOLINTNEXTLINE(misc-no-recursion): values nest as deep as the operator's own file has them.
+// NOLINTNEXTLINE(misc-no-recursion): the depth is that of the operator's own configuration file.
 void flatten_into(FlatSettings& flat_settings, const std::string& path, const json& value) {
   if (value.is_object()) {
     for (const auto& [name, inner] : value.items()) flatten_into(flat_settings, path_of(path, name), inner);
-  } else if (value.is_array() && holds_objects(value)) {
+  } else if (value.is_array() && contains_objects(value)) {
     flat_settings[path + ".count"] = std::to_string(value.size());
     for (std::size_t index = 0; index < value.size(); ++index)
       flatten_into(flat_settings, path_of(path, std::to_string(index)), value[index]);
   } else if (value.is_array()) {
-    flat_settings[path] += joined(value);
+    flat_settings[path] += join_with_commas(value);
   } else {
     flat_settings[path] = text_of(value);
   }
--- a/src/config/flat_settings.hpp
+++ b/src/config/flat_settings.hpp
@@ -1,5 +1,6 @@
-// A site's settings as texts by path, the one form in which they are read. The simulator sends them as
-// "path=value" lines, the relay's file has them as nested JSON; both give the same paths.
+// A site's settings as a flat map from path to text, the form in which SettingsReader reads them. The
+// simulator sends "path=value" lines and the relay's configuration file holds nested JSON; both yield the
+// same paths.
 #pragma once
 
 #include <functional>
@@ -10,15 +11,16 @@
 
 namespace cherryrail::config {
 
-// By path, such as profiles.0.payoff.
+// Values by path; a path looks like profiles.0.payoff.
 using FlatSettings = std::map<std::string, std::string, std::less<>>;
 
-// One "path=value" a line; lines without '=' are skipped, and of a path that comes twice the last value
-// holds.
+// Parses one "path=value" per line. Lines without '=' are skipped; if a path occurs more than once, the last
+// value wins.
 FlatSettings parse_setting_lines(std::string_view text);
 
-// Nested objects become paths. A list of plain values becomes one text, joined by commas; a list that holds
-// objects is numbered, and its length is at "<path>.count". `settings` has to be an object.
+// Flattens nested objects into paths. A list of scalars becomes one comma-separated text. The items of a list
+// that contains objects are numbered, and the list's length is stored under "<path>.count". `settings` must
+// be an object.
 FlatSettings flatten_json(const nlohmann::json& settings);
 
 }  // namespace cherryrail::config
--- a/src/config/inherited_socket.cpp
+++ b/src/config/inherited_socket.cpp
@@ -11,19 +11,19 @@
 namespace {
 
 constexpr const char* kVariable = "EDGE_SOCKET_FD";
-constexpr guint64 kFirstFd = 3;  // below it are the standard streams
-constexpr guint64 kLastFd = 1 << 20;
+constexpr guint64 kMinDescriptor = 3;  // 0 to 2 are the standard streams
+constexpr guint64 kMaxDescriptor = 1 << 20;
 constexpr unsigned kDecimal = 10;
 
-[[noreturn]] void refuse(const std::string& text, const std::string& problem) {
+[[noreturn]] void throw_config_error(const std::string& text, const std::string& problem) {
   throw ConfigError(ConfigSource::environment, {kVariable, text}, problem);
 }
 
 int parse_descriptor(const std::string& text) {
   guint64 number = 0;
   const gboolean is_descriptor =
-      g_ascii_string_to_unsigned(text.c_str(), kDecimal, kFirstFd, kLastFd, &number, nullptr);
-  if (is_descriptor == FALSE) refuse(text, is_not(text, "the number of a descriptor"));
+      g_ascii_string_to_unsigned(text.c_str(), kDecimal, kMinDescriptor, kMaxDescriptor, &number, nullptr);
+  if (is_descriptor == FALSE) throw_config_error(text, describe_mismatch(text, "a descriptor number"));
   return static_cast<int>(number);
 }
 
@@ -52,26 +52,28 @@
 bool listens_at(int fd, const net::Address& listen_address) {
   const net::Address bound = bound_address(fd);
   GInetSocketAddress* const actual = inet_address(bound);
-  GInetSocketAddress* const wanted = inet_address(listen_address);
-  if (!actual || !wanted) return false;
-  if (g_inet_socket_address_get_port(actual) != g_inet_socket_address_get_port(wanted)) return false;
+  GInetSocketAddress* const expected = inet_address(listen_address);
+  if (!actual || !expected) return false;
+  if (g_inet_socket_address_get_port(actual) != g_inet_socket_address_get_port(expected)) return false;
   GInetAddress* const actual_host = g_inet_socket_address_get_address(actual);
-  GInetAddress* const wanted_host = g_inet_socket_address_get_address(wanted);
-  return g_inet_address_equal(actual_host, wanted_host) != FALSE ||
+  GInetAddress* const expected_host = g_inet_socket_address_get_address(expected);
+  return g_inet_address_equal(actual_host, expected_host) != FALSE ||
          g_inet_address_get_is_any(actual_host) != FALSE;
 }
 
 }  // namespace
 
-// A wrong descriptor, taken on trust, would be a file or another program's socket, and no client would come.
+// The descriptor is checked because a wrong number may name a file or another program's socket; the relay
+// would then run without receiving any client connection.
 std::optional<int> find_inherited_listener(const net::Address& listen_address) {
-  const char* const stated = std::getenv(kVariable);
-  const std::string text = stated ? stated : "";
+  const char* const environment_value = std::getenv(kVariable);
+  const std::string text = environment_value ? environment_value : "";
   if (text.empty()) return {};
   const int fd = parse_descriptor(text);
-  if (!is_listening_tcp_socket(fd)) refuse(text, "descriptor " + text + " is not a listening TCP socket");
+  if (!is_listening_tcp_socket(fd))
+    throw_config_error(text, "descriptor " + text + " is not a listening TCP socket");
   if (!listens_at(fd, listen_address))
-    refuse(text, "descriptor " + text + " does not listen where `listen` says");
+    throw_config_error(text, "descriptor " + text + " does not listen at the address in `listen`");
   return fd;
 }
 
--- a/src/config/inherited_socket.hpp
+++ b/src/config/inherited_socket.hpp
@@ -1,4 +1,4 @@
-// The listening socket that the platform opens for the clients and every process of a relay inherits.
+// The downstream listening socket that the platform may open and pass to each process of a relay.
 #pragma once
 
 #include <optional>
@@ -7,8 +7,9 @@
 
 namespace cherryrail::config {
 
-// The descriptor that EDGE_SOCKET_FD names, none if the variable is not set. Throws ConfigError if it is not
-// a TCP socket that listens at `listen_address`. The descriptor is not taken over: its owner is the caller.
+// Returns the descriptor named by EDGE_SOCKET_FD, or nothing if the variable is unset or empty. Throws
+// ConfigError if the descriptor is not a TCP socket listening at `listen_address`. The caller owns the
+// descriptor.
 std::optional<int> find_inherited_listener(const net::Address& listen_address);
 
 }  // namespace cherryrail::config
--- a/src/config/milliseconds.hpp
+++ b/src/config/milliseconds.hpp
@@ -1,4 +1,4 @@
-// Settings and what comes over the wires give times in milliseconds; the program counts microseconds.
+// Conversion of durations: settings and wire messages use milliseconds, the code uses microseconds.
 #pragma once
 
 #include <cmath>
--- a/src/config/relay_config.cpp
+++ b/src/config/relay_config.cpp
@@ -15,15 +15,17 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kUsualDescriptorLimit = 1024;  // what systems allow a process by default
-constexpr std::int64_t kLeastDescriptorLimit = 16;   // with less the relay's own would leave none for clients
-constexpr Micros kUsualConnectTimeout = 250'000;
-constexpr Micros kUsualIdleTimeout = 15'000'000;
-constexpr Micros kUsualDrainGrace = 500'000;
-constexpr Micros kShortestAskAgain = kUsualDrainGrace / 50;  // so that a service that is down is not hammered
-constexpr Micros kLongestAskAgain = kUsualDrainGrace / 2;
-
-// A key of the file and the variable that is read if the file does not have it; null if there is none.
+constexpr std::size_t kDefaultDescriptorLimit = 1024;  // the usual default of operating systems
+constexpr std::int64_t kMinDescriptorLimit = 16;  // the relay's own descriptors would use up a lower limit
+constexpr Micros kDefaultConnectTimeout = 250'000;
+constexpr Micros kDefaultIdleTimeout = 15'000'000;
+constexpr Micros kDefaultDrainGrace = 500'000;
+// The lower bound avoids flooding a discovery service that is down.
+constexpr Micros kMinEndpointRetryDelay = kDefaultDrainGrace / 50;
+constexpr Micros kMaxEndpointRetryDelay = kDefaultDrainGrace / 2;
+
+// A key of the file, and the environment variable that is read if the file lacks the key; null if there is
+// no such variable.
 struct TextKey {
   const char* key;
   const char* variable;
@@ -34,17 +36,17 @@
 constexpr TextKey kAdmin{"mgmt", "EDGE_MGMT"};
 constexpr TextKey kSeed{"seed", nullptr};
 
-[[noreturn]] void refuse(const ConfigValue& fault, const std::string& problem) {
-  throw ConfigError(ConfigSource::file, fault, problem);
+[[noreturn]] void throw_config_error(const ConfigValue& invalid, const std::string& problem) {
+  throw ConfigError(ConfigSource::file, invalid, problem);
 }
 
-// Errors of the moment: the file is there and may be read in a moment.
-[[noreturn]] void refuse_unreadable(const std::string& path, int error) {
+// Transient errors, such as a lack of descriptors, become an IncompleteConfigError: a later read may succeed.
+[[noreturn]] void throw_unreadable(const std::string& path, int error) {
   const std::string problem = "the configuration file '" + path + "' cannot be read";
-  const bool is_passing =
+  const bool is_transient =
       error == EMFILE || error == ENFILE || error == ENOMEM || error == EIO || error == EINTR;
-  if (is_passing) throw IncompleteConfigError({"", path}, problem);
-  refuse({"", path}, problem);
+  if (is_transient) throw IncompleteConfigError({"", path}, problem);
+  throw_config_error({"", path}, problem);
 }
 
 json parse_object(const std::string& text) {
@@ -54,14 +56,14 @@
   } catch (const json::exception& error) {
     throw IncompleteConfigError({}, std::string("the configuration is not JSON: ") + error.what());
   }
-  if (!root.is_object()) refuse({}, "the configuration is not an object");
+  if (!root.is_object()) throw_config_error({}, "the configuration is not a JSON object");
   return root;
 }
 
 std::string read_text(const json& root, const TextKey& key) {
   const auto found = root.find(key.key);
   if (found != root.end()) {
-    if (!found->is_string()) refuse({key.key, found->type_name()}, "not a text");
+    if (!found->is_string()) throw_config_error({key.key, found->type_name()}, "not a string");
     return found->get<std::string>();
   }
   const char* const from_environment = key.variable ? std::getenv(key.variable) : nullptr;
@@ -70,11 +72,11 @@
 
 net::Address parse_address(const TextKey& key, const std::string& text) {
   net::Address address = net::parse_address(text);
-  if (!address) refuse({key.key, text}, is_not(text, "an address and a port"));
+  if (!address) throw_config_error({key.key, text}, describe_mismatch(text, "an IP address with a port"));
   return address;
 }
 
-void read_client_side(const json& root, RelayConfig& config) {
+void read_listen_address(const json& root, RelayConfig& config) {
   config.listen = read_text(root, kListen);
   config.listen_address = parse_address(kListen, config.listen);
 }
@@ -89,7 +91,8 @@
   if (config.admin.empty()) return;
   config.admin_address = parse_address(kAdmin, config.admin);
   if (config.admin == config.listen)
-    refuse({kAdmin.key, config.admin}, "clients connect there; it needs a place of its own");
+    throw_config_error({kAdmin.key, config.admin},
+                       "same address as `listen`; the admin endpoint needs an address of its own");
 }
 
 std::string read_state_directory() {
@@ -99,34 +102,37 @@
 
 std::size_t read_descriptor_limit(const json& root) {
   const auto limits = root.find("limits");
-  if (limits == root.end()) return kUsualDescriptorLimit;
-  if (!limits->is_object()) refuse({"limits", limits->type_name()}, "not an object");
+  if (limits == root.end()) return kDefaultDescriptorLimit;
+  if (!limits->is_object()) throw_config_error({"limits", limits->type_name()}, "not an object");
   const auto sockets = limits->find("sockets");
-  if (sockets == limits->end()) return kUsualDescriptorLimit;
-  if (!sockets->is_number_integer() || sockets->get<std::int64_t>() < kLeastDescriptorLimit)
-    refuse({"limits.sockets", sockets->dump()}, "not a whole number of at least 16");
+  if (sockets == limits->end()) return kDefaultDescriptorLimit;
+  if (!sockets->is_number_integer() || sockets->get<std::int64_t>() < kMinDescriptorLimit)
+    throw_config_error({"limits.sockets", sockets->dump()}, "not a whole number of at least 16");
   return sockets->get<std::size_t>();
 }
 
 FlatSettings read_flat_settings(const json& root) {
   const auto settings = root.find("settings");
-  if (settings == root.end()) refuse({"settings", ""}, "missing, or not an object");
-  if (!settings->is_object()) refuse({"settings", settings->type_name()}, "missing, or not an object");
+  if (settings == root.end()) throw_config_error({"settings", ""}, "missing, or not an object");
+  if (!settings->is_object())
+    throw_config_error({"settings", settings->type_name()}, "missing, or not an object");
   return flatten_json(*settings);
 }
 
-// On sockets a pushed list is one whose watch this relay holds alone; it is asked for all the same. What its
-// agent knows counts as known to the relay, with or without a watch, so a broken watch is asked for again
-// well within the grace that draining backends get; later, attempts would go to backends that have left.
-void ask_for_pushed_list(SiteSettings& settings) {
-  const Micros grace = settings.drain_grace > 0 ? settings.drain_grace : kUsualDrainGrace;
+// A pushed endpoint list also arrives over a watch that the relay has to request; the discovery agent then
+// serves this relay alone. An endpoint that the agent knows counts as known to the relay even while the watch
+// is broken. So a broken watch is requested again well within the grace period of draining backends;
+// otherwise attempts would go to backends that have left.
+void request_pushed_list(SiteSettings& settings) {
+  const Micros grace = settings.drain_grace > 0 ? settings.drain_grace : kDefaultDrainGrace;
   settings.config.must_request_endpoints = true;
-  settings.config.endpoint_retry_delay = std::clamp(grace / 2, kShortestAskAgain, kLongestAskAgain);
+  settings.config.endpoint_retry_delay =
+      std::clamp(grace / 2, kMinEndpointRetryDelay, kMaxEndpointRetryDelay);
 }
 
-void set_usual_timeouts(SiteSettings& settings) {
-  if (settings.connect_timeout <= 0) settings.connect_timeout = kUsualConnectTimeout;
-  if (settings.idle_timeout <= 0) settings.idle_timeout = kUsualIdleTimeout;
+void set_default_timeouts(SiteSettings& settings) {
+  if (settings.connect_timeout <= 0) settings.connect_timeout = kDefaultConnectTimeout;
+  if (settings.idle_timeout <= 0) settings.idle_timeout = kDefaultIdleTimeout;
 }
 
 protocol::EndpointList read_known_endpoints(const json& root) {
@@ -135,27 +141,27 @@
   try {
     return protocol::parse_endpoint_list(*known);
   } catch (const protocol::ProtocolError& error) {
-    refuse({"known", error.value()}, error.what());
+    throw_config_error({"known", error.value()}, error.what());
   }
 }
 
 }  // namespace
 
 RelayConfig read_relay_config(const std::string& path) {
-  if (path.empty()) refuse({}, "no configuration: name its file with --config or EDGE_CONFIG");
+  if (path.empty()) throw_config_error({}, "no configuration file: set --config or EDGE_CONFIG");
   const std::ifstream file(path);
-  if (!file) refuse_unreadable(path, errno);
+  if (!file) throw_unreadable(path, errno);
   std::ostringstream text;
   text << file.rdbuf();
   return parse_relay_config(text.str());
 }
 
-// The order decides which of several faults is named.
+// The order of these steps decides which of several errors is reported.
 RelayConfig parse_relay_config(const std::string& text) {
   const json root = parse_object(text);
   RelayConfig config;
   config.name = read_text(root, kName);
-  read_client_side(root, config);
+  read_listen_address(root, config);
   read_discovery(root, config);
   config.inherited_listener = find_inherited_listener(config.listen_address);
   read_admin(root, config);
@@ -165,8 +171,8 @@
   config.flat_settings = read_flat_settings(root);
   config.settings = read_site_settings(config.flat_settings);
   config.is_list_pushed = !config.settings.config.must_request_endpoints;
-  if (config.is_list_pushed) ask_for_pushed_list(config.settings);
-  set_usual_timeouts(config.settings);
+  if (config.is_list_pushed) request_pushed_list(config.settings);
+  set_default_timeouts(config.settings);
   config.known_endpoints = read_known_endpoints(root);
   return config;
 }
--- a/src/config/relay_config.hpp
+++ b/src/config/relay_config.hpp
@@ -1,4 +1,5 @@
-// The relay's configuration file with the variables that complete it: parsed, checked and given its defaults.
+// The relay's configuration: the file and the environment variables that supplement it, parsed, validated and
+// completed with defaults.
 #pragma once
 
 #include <cstddef>
@@ -14,26 +15,26 @@
 
 struct RelayConfig {
   std::string name;
-  std::string listen;  // where clients connect, as the file states it
+  std::string listen;  // the downstream address, as written in the file
   net::Address listen_address;
-  std::optional<int> inherited_listener;  // the clients' listening socket, where the platform opens it
+  std::optional<int> inherited_listener;  // the downstream listening socket, if the platform opens it
   std::string discovery;                  // the address of the service that sends the endpoint list
-  std::string admin;                      // where operators call; empty without an operators' endpoint
+  std::string admin;                      // the admin address; empty without an admin endpoint
   net::Address admin_address;
-  std::string state_directory;  // shared by all processes that serve as this relay; empty without one
+  std::string state_directory;  // shared by all processes of this relay; empty without one
   std::uint64_t seed = 0;
-  std::size_t descriptor_limit = 0;  // how many descriptors the process may hold
-  FlatSettings flat_settings;        // the site's settings as the file has them
+  std::size_t descriptor_limit = 0;  // how many descriptors the process may open
+  FlatSettings flat_settings;        // the site's settings as in the file
   SiteSettings settings;
-  bool is_list_pushed = false;             // the endpoint list comes from an agent of this relay's own
-  protocol::EndpointList known_endpoints;  // the endpoint list as this relay last had it
+  bool is_list_pushed = false;  // the endpoint list comes from an agent that serves this relay alone
+  protocol::EndpointList known_endpoints;  // the last endpoint list that this relay received
 };
 
-// Reads the file at `path`. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_MGMT stand in for what the file
-// leaves out; EDGE_SOCKET_FD names an inherited listener, TMPDIR the state directory. Throws ConfigError.
+// Reads the file at `path`. EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_MGMT supply keys that the file
+// lacks; EDGE_SOCKET_FD names an inherited listener and TMPDIR the state directory. Throws ConfigError.
 RelayConfig read_relay_config(const std::string& path);
 
-// The same from the file's text.
+// Like read_relay_config, but takes the content of the file.
 RelayConfig parse_relay_config(const std::string& text);
 
 }  // namespace cherryrail::config
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -6,7 +6,7 @@
 namespace cherryrail::config {
 namespace {
 
-constexpr NumberRange kMilliseconds{0, 1e12};  // some thirty years: more is a wrong unit
+constexpr NumberRange kMilliseconds{0, 1e12};  // about 30 years; a larger value suggests a wrong unit
 
 bool has_no_value(std::string_view text) { return text.empty() || text == "null"; }
 
@@ -17,8 +17,9 @@
 
 double checked_number(const ConfigValue& setting, NumberRange range) {
   const auto number = protocol::parse_number(setting.value);
-  if (!number) SettingsReader::refuse(setting, "a number");
-  if (*number < range.least || *number > range.most) SettingsReader::refuse(setting, "a number in its range");
+  if (!number) SettingsReader::throw_mismatch(setting, "a number");
+  if (*number < range.minimum || *number > range.maximum)
+    SettingsReader::throw_mismatch(setting, "a number in the allowed range");
   return *number;
 }
 
@@ -59,12 +60,12 @@
 bool SettingsReader::flag(std::string_view key) const {
   const std::string_view value = text(key);
   if (value == "true" || value == "1") return true;
-  if (!value.empty() && value != "false" && value != "0") refuse({key, value}, "true or false");
+  if (!value.empty() && value != "false" && value != "0") throw_mismatch({key, value}, "true or false");
   return false;
 }
 
-void SettingsReader::refuse(const ConfigValue& setting, std::string_view wanted) {
-  throw ConfigError(ConfigSource::setting, setting, is_not(setting.value, wanted));
+void SettingsReader::throw_mismatch(const ConfigValue& setting, std::string_view expected) {
+  throw ConfigError(ConfigSource::setting, setting, describe_mismatch(setting.value, expected));
 }
 
 }  // namespace cherryrail::config
--- a/src/config/settings_reader.hpp
+++ b/src/config/settings_reader.hpp
@@ -1,4 +1,4 @@
-// Typed, checked access to one setting at a time.
+// Typed and validated access to single settings.
 #pragma once
 
 #include <cstddef>
@@ -13,28 +13,28 @@
 
 namespace cherryrail::config {
 
-// Both ends belong to it.
+// An allowed range; both ends are included.
 struct NumberRange {
-  double least = 0;
-  double most = 1e15;  // larger numbers have lost their last digits and would not fit what they are cast to
+  double minimum = 0;
+  double maximum = 1e15;  // larger doubles lose integer digits and overflow the types that they are cast to
 };
 
-// Reads settings by path. A setting that is missing, empty or the word null has no value: its fallback is
-// given. A value of the wrong kind or out of its range throws ConfigError. The settings have to outlive the
-// reader and the texts it gives.
+// Reads settings by path. A setting that is missing, empty or "null" has no value, and its fallback is
+// returned. A value of the wrong kind or out of range throws ConfigError. The settings must outlive the
+// reader and the views that it returns.
 class SettingsReader {
  public:
   explicit SettingsReader(const FlatSettings& flat_settings) : flat_settings_(flat_settings) {}
 
-  std::string_view text(std::string_view key) const;               // empty without a value
-  std::vector<std::string_view> list(std::string_view key) const;  // of a text with commas
+  std::string_view text(std::string_view key) const;               // empty if unset
+  std::vector<std::string_view> list(std::string_view key) const;  // of a comma-separated text
   double number(std::string_view key, double fallback, NumberRange range = {}) const;
   double number_in_list(std::string_view key, std::size_t index, NumberRange range, double fallback) const;
   unsigned whole_number(std::string_view key, unsigned fallback, NumberRange range) const;  // rounded down
-  Micros duration(std::string_view key) const;  // from milliseconds; 0 without a value
-  bool flag(std::string_view key) const;        // false without a value
+  Micros duration(std::string_view key) const;  // set in milliseconds; 0 if unset
+  bool flag(std::string_view key) const;        // false if unset
 
-  // One of some known words; the first of them without a value.
+  // Maps one of the given words to its value; the first one is the default.
   template <class Value>
   Value choice(std::string_view key, std::initializer_list<std::pair<std::string_view, Value>> words) const {
     const std::string_view chosen = text(key);
@@ -42,11 +42,11 @@
     for (const auto& [word, value] : words) {
       if (chosen == word) return value;
     }
-    refuse({key, chosen}, "a word known here");
+    throw_mismatch({key, chosen}, "a known value");
   }
 
-  // Throws the ConfigError of a setting whose value is not what is wanted.
-  [[noreturn]] static void refuse(const ConfigValue& setting, std::string_view wanted);
+  // Throws the ConfigError for a setting whose value is not what is expected.
+  [[noreturn]] static void throw_mismatch(const ConfigValue& setting, std::string_view expected);
 
  private:
   const FlatSettings& flat_settings_;
--- a/src/config/site_settings.cpp
+++ b/src/config/site_settings.cpp
@@ -10,7 +10,7 @@
 namespace cherryrail::config {
 namespace {
 
-// No site comes near these; a larger value is a mistake.
+// Far above the values of any site; a larger value is a mistake.
 constexpr NumberRange kTrafficClassCount{0, 256};
 constexpr NumberRange kTenantCount{0, 1e6};
 constexpr NumberRange kTenantShare{0, 1e12};
@@ -20,16 +20,16 @@
 constexpr NumberRange kAttemptCount{1, 255};
 constexpr NumberRange kMessageObjectiveMilliseconds{0, 1e9};
 
-constexpr NumberRange kPart{0, 1};
-constexpr NumberRange kTopNines{1e-3, 100};  // an exponent; 0 would weigh nothing
+constexpr NumberRange kFraction{0, 1};
+constexpr NumberRange kTopNines{1e-3, 100};  // an exponent; 0 would remove the weight
 
-// Where a message's objective is not stated: a third of the attempt's.
+// The default message latency objective is a third of the attempt latency objective.
 constexpr double kAttemptMicrosPerMessageMillisecond = 3 * 1000;
 
-// Figures of a load report that can be the utilization, by their names in report.fields. If a report has
-// both, the later name holds.
+// Fields of a load report that can hold the utilization, by their names in report.fields. If a report has
+// both, the later name takes precedence.
 constexpr std::array<std::string_view, 2> kUtilizationFields = {"busy", "x0"};
-constexpr std::size_t kReportFigures = 4;  // as many as a report carries
+constexpr std::size_t kReportFieldCount = 4;  // how many values a load report carries
 
 TrafficClass read_traffic_class(const SettingsReader& reader, std::size_t index) {
   const std::string path = "profiles." + std::to_string(index) + ".";
@@ -38,10 +38,10 @@
   const Micros attempt_objective = reader.duration(path + "setup_goal");
   traffic_class.attempt_latency_objective = attempt_objective;
   traffic_class.client_timeout = reader.duration(path + "client_timeout");
-  const double usual_message_objective =
+  const double default_message_objective =
       static_cast<double>(attempt_objective) / kAttemptMicrosPerMessageMillisecond;
   traffic_class.message_latency_objective = micros_from_milliseconds(reader.number_in_list(
-      "domain.message_aim", index, kMessageObjectiveMilliseconds, usual_message_objective));
+      "domain.message_aim", index, kMessageObjectiveMilliseconds, default_message_objective));
   traffic_class.deduplication_window = reader.duration(path + "window");
   traffic_class.priority_weight = reader.number(path + "payoff", 1);
   traffic_class.idempotency =
@@ -58,7 +58,7 @@
 std::vector<TrafficClass> read_traffic_classes(const SettingsReader& reader) {
   constexpr std::string_view kKey = "profiles.count";
   const unsigned count = reader.whole_number(kKey, 0, kTrafficClassCount);
-  if (count == 0) SettingsReader::refuse({kKey, reader.text(kKey)}, "a count of at least one");
+  if (count == 0) SettingsReader::throw_mismatch({kKey, reader.text(kKey)}, "a count of at least one");
   std::vector<TrafficClass> traffic_classes;
   for (std::size_t index = 0; index < count; ++index)
     traffic_classes.push_back(read_traffic_class(reader, index));
@@ -95,7 +95,7 @@
   config.overload_window = reader.duration("invariants.fall");
   config.slow_start_duration = reader.duration("invariants.warm_up");
   config.overload_factor = reader.number("invariants.fall_multiple", 1);
-  config.slow_start_initial_factor = reader.number("invariants.cold_from", 1, kPart);
+  config.slow_start_initial_factor = reader.number("invariants.cold_from", 1, kFraction);
 }
 
 void read_retry_budget(const SettingsReader& reader, BalancerConfig& config) {
@@ -103,12 +103,13 @@
   config.retry_budget_ratio = reader.number("invariants.extra_per_request", 0);
   config.retry_budget_minimum = reader.number("invariants.budget_free", 0);
   config.retry_budget_window = reader.duration(kWindowKey);
-  const bool is_budget_stated = config.retry_budget_ratio > 0 || config.retry_budget_minimum > 0;
-  if (is_budget_stated && config.retry_budget_window <= 0)
-    SettingsReader::refuse({kWindowKey, reader.text(kWindowKey)}, "a time above 0, with a budget");
+  const bool has_retry_budget = config.retry_budget_ratio > 0 || config.retry_budget_minimum > 0;
+  if (has_retry_budget && config.retry_budget_window <= 0)
+    SettingsReader::throw_mismatch({kWindowKey, reader.text(kWindowKey)},
+                                   "a positive duration, which a retry budget requires");
 }
 
-// No decision turns on how unserved seconds are weighed, but a value that cannot be meant is still refused.
+// The balancer does not use these settings, which weight unserved seconds, but invalid values are rejected.
 void check_objective_mix(const SettingsReader& reader) {
   reader.number("objective_mix.nines_part", 0);
   reader.number("objective_mix.top_nines", 1, kTopNines);
@@ -117,7 +118,7 @@
 std::optional<std::size_t> find_utilization(const std::vector<std::string_view>& fields) {
   std::optional<std::size_t> position;
   for (const std::string_view name : kUtilizationFields) {
-    for (std::size_t index = 0; index < std::min(fields.size(), kReportFigures); ++index) {
+    for (std::size_t index = 0; index < std::min(fields.size(), kReportFieldCount); ++index) {
       if (fields[index] == name) position = index;
     }
   }
@@ -151,7 +152,7 @@
 
 }  // namespace
 
-// The sections' order decides which of several faults is named.
+// The order of the sections decides which of several errors is reported.
 SiteSettings read_site_settings(const FlatSettings& flat_settings) {
   const SettingsReader reader(flat_settings);
   SiteSettings settings;
--- a/tests/config/relay_config_test.cpp
+++ b/tests/config/relay_config_test.cpp
@@ -1,4 +1,4 @@
-// How the configuration is read, and how a fault in it is named.
+// Parsing of the relay's configuration and the error messages for invalid ones.
 #include "config/relay_config.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace cherryrail::testing {
 namespace {
 
-// What the error says of this configuration; empty where there is none.
+// The error message for a configuration; empty if it is valid.
 std::string config_error(const std::string& text) {
   try {
     config::parse_relay_config(text);
@@ -22,10 +22,10 @@
   return "";
 }
 
-TEST(RelayConfig, NamesTheKeyOfAFaultySetting) {
-  const std::string good = LoopbackRelay(1).config_text(500);
+TEST(RelayConfig, ErrorNamesTheKeyOfAnInvalidValue) {
+  const std::string valid = LoopbackRelay(1).config_text(500);
   const auto error_with = [&](const std::string& from, const std::string& to) {
-    std::string text = good;
+    std::string text = valid;
     text.replace(text.find(from), from.size(), to);
     return config_error(text);
   };
@@ -38,7 +38,7 @@
   EXPECT_NE(error_with("{\"name\"", "{,").find("JSON"), std::string::npos);
 }
 
-TEST(RelayConfig, RejectsAnUnusableNumberOfRelays) {
+TEST(RelayConfig, RejectsAnInvalidRelayCount) {
   const LoopbackRelay relay(1, 500, "", false);
 
   for (const char* count : {"0", "-3", "1e9", "\"many\""}) {
@@ -47,15 +47,15 @@
   }
 }
 
-TEST(RelayConfig, TakesTheLowestAndTheHighestNumberOfRelays) {
-  LoopbackRelay one(1, 500, R"(,"balancers":1)");
-  LoopbackRelay most(1, 500, R"(,"balancers":65535)");
+TEST(RelayConfig, AcceptsTheMinimumAndMaximumRelayCount) {
+  LoopbackRelay minimum(1, 500, R"(,"balancers":1)");
+  LoopbackRelay maximum(1, 500, R"(,"balancers":65535)");
 
-  one.establish_session("1");
-  most.establish_session("1");
+  minimum.establish_session("1");
+  maximum.establish_session("1");
 }
 
-TEST(RelayConfig, NamesAnInheritedDescriptorThatCannotBeUsed) {
+TEST(RelayConfig, RejectsAnInheritedDescriptorThatDoesNotListenAtTheConfiguredAddress) {
   LoopbackRelay relay(1);
   const auto error_with_inherited = [&](int fd) {
     setenv("EDGE_SOCKET_FD", std::to_string(fd).c_str(), 1);
@@ -68,13 +68,13 @@
 
   EXPECT_NE(error_with_inherited(9999).find("EDGE_SOCKET_FD"), std::string::npos);
   EXPECT_NE(error_with_inherited(connection.fd()).find("not a listening"), std::string::npos);
-  EXPECT_NE(error_with_inherited(other_listener.fd()).find("does not listen where"), std::string::npos);
+  EXPECT_NE(error_with_inherited(other_listener.fd()).find("does not listen at"), std::string::npos);
 
   relay.port = other_listener.port();
   EXPECT_EQ(error_with_inherited(other_listener.fd()), "");
 }
 
-TEST(RelayConfig, ReadsSettingsWithOtherNamesAndCounts) {
+TEST(RelayConfig, ReadsAllTrafficClassesTenantsAndInvariants) {
   const auto relay_config = config::parse_relay_config(
       R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"pushed","zones":["n","m","s"],
       "balancers":6,"invariants":{"stop_sending_within":100,"resend_span":4000,"budget_free":2,"extra_per_request":0.12},
@@ -96,7 +96,7 @@
   EXPECT_FALSE(config.may_cancel_attempts || config.may_send_retry_after || config.may_check_health);
 }
 
-TEST(RelayConfig, ReadsSettingsWithGaps) {
+TEST(RelayConfig, MissingSettingsGetDefaults) {
   const auto relay_config = config::parse_relay_config(
       R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"discovery":"on_request",
       "profiles":[{"name":"reading"}]}})");
