--- a/src/protocol/backend_reply.hpp
+++ b/src/protocol/backend_reply.hpp
@@ -1,4 +1,4 @@
-// A line that a backend writes on a session's connection or in reply to a health check.
+// Parses the lines that a backend sends on a session's connection or in reply to a health check.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 struct BackendReply {
   ReplyKind kind = ReplyKind::other;
-  std::string_view arguments;  // what follows the first word; points into the parsed line
+  std::string_view arguments;  // the text after the first word; points into the parsed line
 };
 
-// `line` is without its line end. A first word that is not known gives ReplyKind::other.
+// `line` has no line terminator. An unknown first word gives ReplyKind::other.
 BackendReply parse_backend_reply(std::string_view line);
 
 }  // namespace cherryrail::protocol
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -11,12 +11,12 @@
 
 using nlohmann::json;
 
-constexpr double kNumberLimit = 1e15;  // below it, every number fits the integers that it is cast to
-constexpr double kLargestCell = 1e9;
+constexpr double kNumberLimit = 1e15;  // smaller numbers fit the integer types that they are cast to
+constexpr double kMaxCell = 1e9;
 constexpr double kMicrosPerMillisecond = 1000;
-constexpr std::size_t kLongestQuote = 80;  // of a text that is not JSON
+constexpr std::size_t kMaxQuotedLength = 80;  // how much of an invalid message an error quotes
 
-// A number that is missing or cannot be used counts as not stated.
+// The number at `key`, or `fallback` if it is missing, negative, not finite or too large.
 double number_or(const json& entry, const char* key, double fallback) {
   const auto found = entry.find(key);
   if (found == entry.end() || !found->is_number()) return fallback;
@@ -37,17 +37,17 @@
   return {};
 }
 
-// None for an entry in a state that is not known: a state of a later version is not acted on.
+// Returns nothing for an entry in an unknown state, which a later version of discovery may send.
 std::optional<EndpointEntry> parse_entry(const json& target) {
   EndpointEntry entry;
   if (target.is_object()) entry.uid = text_or_empty(target, "uid");
-  if (entry.uid.empty()) throw ProtocolError("targets", target.type_name(), "an entry without uid");
+  if (entry.uid.empty()) throw ProtocolError("targets", target.type_name(), "an entry has no uid");
   const auto state = parse_state(text_or_empty(target, "state"));
   if (!state) return {};
   entry.state = *state;
   entry.address = text_or_empty(target, "endpoint");
   entry.zone = text_or_empty(target, "az");
-  entry.cell = static_cast<unsigned>(std::min(number_or(target, "pod_group", 0), kLargestCell));
+  entry.cell = static_cast<unsigned>(std::min(number_or(target, "pod_group", 0), kMaxCell));
   entry.capacity_hint = number_or(target, "capacity_hint", 1);
   entry.started_at = static_cast<Micros>(number_or(target, "boot_ms", 0) * kMicrosPerMillisecond);
   return entry;
@@ -84,7 +84,7 @@
   try {
     return parse_list(json::parse(text));
   } catch (const json::exception& error) {
-    throw ProtocolError("", std::string(text.substr(0, kLongestQuote)), error.what());
+    throw ProtocolError("", std::string(text.substr(0, kMaxQuotedLength)), error.what());
   }
 }
 
--- a/src/protocol/endpoint_list.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// The list of backends in the form that endpoint discovery sends and the relay's file keeps it.
+// Parses the endpoint list, in the JSON format that discovery sends and the relay's configuration file holds.
 #pragma once
 
 #include <cstddef>
@@ -15,22 +15,23 @@
 
 struct EndpointEntry {
   std::string uid;
-  std::string address;  // host and port, not checked here
+  std::string address;  // host and port, not validated here
   std::string zone;
   unsigned cell = 0;
   EndpointState state = EndpointState::ready;
   double capacity_hint = 1;  // relative to other backends
-  Micros started_at = 0;     // Unix time; 0 if not stated
+  Micros started_at = 0;     // Unix time; 0 if missing
 };
 
 struct EndpointList {
   std::int64_t version = 0;
-  bool is_complete = false;  // names every backend; else only those that changed
+  bool is_complete = false;  // lists every backend; otherwise only those that changed
   std::vector<EndpointEntry> entries;
-  std::size_t skipped_entries = 0;  // in a state that is not known here
+  std::size_t skipped_entries = 0;  // entries in an unknown state
 };
 
-// Both throw ProtocolError. Discovery reads lines, the configuration the list that its file holds.
+// Both throw ProtocolError. The first parses the list in the configuration file, the second a line from
+// discovery.
 EndpointList parse_endpoint_list(const nlohmann::json& json);
 EndpointList parse_endpoint_list(std::string_view text);
 
--- a/src/protocol/http_request.cpp
+++ b/src/protocol/http_request.cpp
@@ -12,18 +12,18 @@
 namespace cherryrail::protocol {
 namespace {
 
-// Far above what operators' calls need, and little to hold for each connection that sends nonsense.
-constexpr std::size_t kLongestHead = 8192;
-constexpr std::size_t kLongestBody = 16384;
+// Far above what admin requests need, and small enough to buffer for each connection that sends garbage.
+constexpr std::size_t kMaxHeadSize = 8192;
+constexpr std::size_t kMaxBodySize = 16384;
 
 constexpr std::string_view kTokenPunctuation = "!#$%&'*+-.^_`|~";  // RFC 9110, 5.6.2
 constexpr std::size_t kVersionSize = std::string_view("HTTP/1.1").size();
 
 std::string_view trim(std::string_view text) {
-  constexpr std::string_view kBlanks = " \t";
-  const std::size_t first = text.find_first_not_of(kBlanks);
+  constexpr std::string_view kWhitespace = " \t";
+  const std::size_t first = text.find_first_not_of(kWhitespace);
   if (first == std::string_view::npos) return text.substr(text.size());
-  return text.substr(first, text.find_last_not_of(kBlanks) - first + 1);
+  return text.substr(first, text.find_last_not_of(kWhitespace) - first + 1);
 }
 
 bool is_token_character(char character) {
@@ -68,24 +68,24 @@
   const std::string_view part = bytes.substr(0, end);
   bytes.remove_prefix(is_line_complete ? end + 1 : bytes.size());
   head_size_ += part.size() + 1;
-  if (head_size_ > kLongestHead) return reject(HttpStatus::header_fields_too_large);
+  if (head_size_ > kMaxHeadSize) return reject(HttpStatus::header_fields_too_large);
   partial_line_ += part;
   if (!is_line_complete) return;
   std::string line = std::exchange(partial_line_, {});
   if (line.ends_with('\r')) line.pop_back();
-  take_line(line);
+  process_line(line);
 }
 
-void HttpRequest::take_line(std::string_view line) {
+void HttpRequest::process_line(std::string_view line) {
   if (step_ == Step::header_line) {
-    if (line.empty()) return end_head();
-    return take_header(line);
+    if (line.empty()) return finish_head();
+    return parse_header(line);
   }
-  // RFC 9112, 2.2: an empty line before the request is passed over.
-  if (!line.empty()) take_request_line(line);
+  // RFC 9112, 2.2: empty lines before the request line are ignored.
+  if (!line.empty()) parse_request_line(line);
 }
 
-void HttpRequest::take_request_line(std::string_view line) {
+void HttpRequest::parse_request_line(std::string_view line) {
   const std::size_t method_end = line.find(' ');
   const std::size_t target_end = line.rfind(' ');
   if (method_end == std::string_view::npos || method_end == target_end)
@@ -102,17 +102,18 @@
   step_ = Step::header_line;
 }
 
-void HttpRequest::take_header(std::string_view line) {
+void HttpRequest::parse_header(std::string_view line) {
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos) return reject(HttpStatus::bad_request);
   const std::string_view name = line.substr(0, colon);
   if (!is_token(name)) return reject(HttpStatus::bad_request);
   if (equals_ignoring_case(name, "Transfer-Encoding")) return reject(HttpStatus::not_implemented);
-  if (equals_ignoring_case(name, "Content-Length")) take_content_length(trim(line.substr(colon + 1)));
+  if (equals_ignoring_case(name, "Content-Length")) parse_content_length(trim(line.substr(colon + 1)));
 }
 
-// Two lengths that differ, or one that wraps round, would have the rest taken for another request.
-void HttpRequest::take_content_length(std::string_view value) {
+// Conflicting lengths, or a length that overflows, would misplace the end of the body, so that part of it
+// could be taken for another request.
+void HttpRequest::parse_content_length(std::string_view value) {
   std::size_t length = 0;
   const char* const value_end = value.data() + value.size();
   const auto [end, error] = std::from_chars(value.data(), value_end, length);
@@ -123,10 +124,10 @@
   content_length_ = length;
 }
 
-void HttpRequest::end_head() {
+void HttpRequest::finish_head() {
   step_ = Step::body;
   if (!has_content_length_ && method_ == "POST") return reject(HttpStatus::length_required);
-  if (content_length_ > kLongestBody) return reject(HttpStatus::content_too_large);
+  if (content_length_ > kMaxBodySize) return reject(HttpStatus::content_too_large);
   if (content_length_ == 0) state_ = State::complete;
 }
 
--- a/src/protocol/http_request.hpp
+++ b/src/protocol/http_request.hpp
@@ -1,5 +1,5 @@
-// Reads one HTTP/1.1 request as it comes in, in pieces of any size. Knows nothing of sockets; the admin
-// server feeds it.
+// An incremental parser for one HTTP/1.1 request. It does no I/O; the admin server passes it the received
+// bytes.
 #pragma once
 
 #include <cstddef>
@@ -15,29 +15,29 @@
  public:
   enum class State : std::uint8_t { incomplete, complete, malformed };
 
-  // Takes the next bytes and returns the state after them. What follows a complete request is left: there is
-  // one request to a connection.
+  // Parses the next bytes, in pieces of any size, and returns the resulting state. Bytes after a complete
+  // request are ignored, since a connection carries one request.
   State feed(std::string_view bytes);
 
   [[nodiscard]] State state() const { return state_; }
-  // What a malformed request is answered with.
+  // The status of the response to a malformed request.
   [[nodiscard]] HttpStatus error_status() const { return error_status_; }
   [[nodiscard]] const std::string& method() const { return method_; }  // empty until the request line is read
-  [[nodiscard]] const std::string& path() const { return path_; }      // without a query
+  [[nodiscard]] const std::string& path() const { return path_; }      // without the query
   [[nodiscard]] const std::string& body() const { return body_; }
 
  private:
-  // What the next bytes are.
+  // Which part of the request the next bytes belong to.
   enum class Step : std::uint8_t { request_line, header_line, body };
 
   void reject(HttpStatus status);
   void read_line(std::string_view& bytes);
   void read_body(std::string_view& bytes);
-  void take_line(std::string_view line);
-  void take_request_line(std::string_view line);
-  void take_header(std::string_view line);
-  void take_content_length(std::string_view value);
-  void end_head();
+  void process_line(std::string_view line);
+  void parse_request_line(std::string_view line);
+  void parse_header(std::string_view line);
+  void parse_content_length(std::string_view value);
+  void finish_head();
 
   State state_ = State::incomplete;
   Step step_ = Step::request_line;
--- a/src/protocol/http_status.hpp
+++ b/src/protocol/http_status.hpp
@@ -1,4 +1,4 @@
-// The HTTP status codes that the relay answers with.
+// The HTTP status codes that the relay responds with.
 #pragma once
 
 #include <cstdint>
@@ -20,10 +20,10 @@
   version_not_supported = 505,
 };
 
-// As it stands on the wire.
+// The numeric code, as sent on the wire.
 constexpr int status_code(HttpStatus status) { return static_cast<int>(status); }
 
-// What RFC 9110 calls it, for the status line.
+// The reason phrase of RFC 9110, for the status line.
 const char* reason_phrase(HttpStatus status);
 
 }  // namespace cherryrail::protocol
--- a/src/protocol/line_reader.hpp
+++ b/src/protocol/line_reader.hpp
@@ -1,4 +1,4 @@
-// Cuts a stream of bytes into lines. Knows nothing of sockets.
+// Splits a byte stream into lines. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -7,23 +7,23 @@
 
 namespace cherryrail::protocol {
 
-// Longer lines are refused, so that a peer that never ends its line cannot fill the memory.
-constexpr std::size_t kLongestLine = 4096;
+// In bytes. Longer lines are rejected, so that a peer that never ends its line cannot exhaust the memory.
+constexpr std::size_t kMaxLineLength = 4096;
 
-// Reads lines that end in CRLF or LF, in pieces of any size. A line that lies whole in one piece is passed on
-// without a copy.
+// Reads lines that end in CRLF or LF, in pieces of any size. A line that is contained in one piece is passed
+// on without a copy.
 class LineReader {
  public:
-  // Calls on_line(line) for each complete line, without its line end. `on_line` returns false to stop after
-  // that line. Returns the bytes that were not read: those after the line that stopped it, or all from the
-  // start of a line that is too long; is_overlong() is true from then on.
+  // Calls on_line(line) for each complete line, without its line terminator. `on_line` returns false to stop
+  // after that line. Returns the unread bytes: those after the line at which it stopped, or, if a line
+  // exceeds kMaxLineLength, all bytes of this piece from that line on; is_overlong() is then true.
   template <class OnLine>
   std::string_view feed(std::string_view bytes, const OnLine& on_line) {
     while (!bytes.empty()) {
       const std::size_t end = bytes.find('\n');
       const bool is_complete = end != std::string_view::npos;
       const std::size_t length = is_complete ? end : bytes.size();
-      if (partial_line_.size() + length > kLongestLine) {
+      if (partial_line_.size() + length > kMaxLineLength) {
         is_overlong_ = true;
         return bytes;
       }
@@ -31,7 +31,7 @@
         partial_line_.append(bytes);
         return {};
       }
-      std::string joined;  // the line, if its beginning came in an earlier piece
+      std::string joined;  // the line, if it began in an earlier piece
       const std::string_view line = complete_line(bytes.substr(0, end), joined);
       bytes.remove_prefix(end + 1);
       if (!on_line(line)) return bytes;
@@ -41,7 +41,7 @@
 
   bool is_overlong() const { return is_overlong_; }
 
-  // The part that has come of a line that has not ended yet.
+  // The received part of a line that is not complete yet.
   std::string_view partial_line() const { return partial_line_; }
 
  private:
--- a/src/protocol/open_request.cpp
+++ b/src/protocol/open_request.cpp
@@ -11,17 +11,17 @@
 constexpr std::string_view kOpenWord = "OPEN";
 constexpr std::string_view kClientTimeoutField = "d";  // in milliseconds
 constexpr Micros kMicrosPerMillisecond = 1000;
-// 0 would not be a timeout: this relay, for one, refuses such a line.
-constexpr Micros kShortestTimeoutMilliseconds = 1;
+// A timeout of 0 is invalid; this relay itself rejects such a line.
+constexpr Micros kMinClientTimeoutMilliseconds = 1;
 
 }  // namespace
 
 const char* describe(OpenRequestFault fault) {
   switch (fault) {
     case OpenRequestFault::not_an_open:
-      return "it does not begin with OPEN";
+      return "the line does not start with OPEN";
     case OpenRequestFault::missing_id_or_flow:
-      return "it has no id or no flow";
+      return "the id or the flow is missing";
   }
   return "unknown fault";
 }
@@ -44,15 +44,15 @@
 OpenRequest::LinePieces OpenRequest::with_client_timeout(Micros remaining) const {
   LinePieces pieces{};
   const std::string_view line = line_;
-  const std::string_view stated = value(kClientTimeoutField);
-  if (stated.empty()) {
+  const std::string_view original = value(kClientTimeoutField);
+  if (original.empty()) {
     pieces.before = line;
     return pieces;
   }
-  const auto position = static_cast<std::size_t>(stated.data() - line.data());
+  const auto position = static_cast<std::size_t>(original.data() - line.data());
   pieces.before = line.substr(0, position);
-  pieces.after = line.substr(position + stated.size());
-  const Micros milliseconds = std::max(kShortestTimeoutMilliseconds, remaining / kMicrosPerMillisecond);
+  pieces.after = line.substr(position + original.size());
+  const Micros milliseconds = std::max(kMinClientTimeoutMilliseconds, remaining / kMicrosPerMillisecond);
   char* const digits = pieces.digits.data();
   const auto written = std::to_chars(digits, digits + pieces.digits.size(), milliseconds);
   pieces.digit_count = static_cast<std::size_t>(written.ptr - digits);
--- a/src/protocol/protocol_error.hpp
+++ b/src/protocol/protocol_error.hpp
@@ -1,4 +1,4 @@
-// What is wrong with a message that a parser refuses.
+// The error that a parser throws for an invalid message.
 #pragma once
 
 #include <stdexcept>
@@ -8,18 +8,18 @@
 
 namespace cherryrail::protocol {
 
-// Thrown by the parsers of this folder; what() names the place, if the message has any, and the problem.
+// what() contains the location of the error, unless it concerns the whole message, and the problem.
 class ProtocolError : public std::runtime_error {
  public:
-  ProtocolError(std::string where, std::string value, std::string_view problem)
-      : std::runtime_error(where.empty() ? std::string(problem) : where + ": " + std::string(problem)),
-        where_(std::move(where)), value_(std::move(value)) {}
+  ProtocolError(std::string location, std::string value, std::string_view problem)
+      : std::runtime_error(location.empty() ? std::string(problem) : location + ": " + std::string(problem)),
+        location_(std::move(location)), value_(std::move(value)) {}
 
-  const std::string& where() const { return where_; }  // the faulty part; empty for the message as a whole
-  const std::string& value() const { return value_; }  // what stands there, or the kind of value it is
+  const std::string& location() const { return location_; }  // empty for the message as a whole
+  const std::string& value() const { return value_; }        // the invalid value or the name of its type
 
  private:
-  std::string where_;
+  std::string location_;
   std::string value_;
 };
 
--- a/tests/protocol/http_request_test.cpp
+++ b/tests/protocol/http_request_test.cpp
@@ -8,7 +8,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(HttpRequest, ParsesARequestTornAtAnyByte) {
+TEST(HttpRequest, ParsesARequestSplitAtAnyByte) {
   const std::string text =
       "\r\nPOST /backends/disable?x=1 HTTP/1.1\r\ncontent-LENGTH:  7\r\n\r\n{\"a\":1}GET /";
 
@@ -19,7 +19,7 @@
 
     EXPECT_EQ(request.state(), protocol::HttpRequest::State::complete) << step;
     EXPECT_EQ(request.path(), "/backends/disable");
-    EXPECT_EQ(request.body(), "{\"a\":1}");  // what follows is not of this request
+    EXPECT_EQ(request.body(), "{\"a\":1}");  // the bytes after the body are not part of the request
   }
 }
 
--- a/tests/protocol/http_response_test.cpp
+++ b/tests/protocol/http_response_test.cpp
@@ -8,7 +8,7 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(HttpResponse, ParsesAChunkedResponseTornAtAnyByte) {
+TEST(HttpResponse, ParsesAChunkedResponseSplitAtAnyByte) {
   const std::string_view whole =
       "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\nX: y\r\n\r\n5\r\nab\ncd\r\n1;q=1\r\ne\r\n0\r\n\r\n";
 
@@ -24,7 +24,7 @@
   }
 }
 
-TEST(HttpResponse, TellsAMalformedResponse) {
+TEST(HttpResponse, DetectsAMalformedResponse) {
   for (const char* text : {"SSH-2.0-x\r\n", "HTTP/1.1 200\r\nnonsense\r\n",
                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"}) {
     protocol::HttpResponse response;
