--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// The relay's command line: `serve` runs it, `check` reads the configuration alone, `version` names the
-// build.
+// The relay's command line: `serve` runs the relay, `check` validates the configuration, `version` prints the
+// version.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <cstdlib>
@@ -17,7 +17,8 @@
 
 using ConfigCommand = void (*)(const std::string& config_path);
 
-// The configuration may be written, or the system be short of descriptors, just when the relay starts.
+// Retries, because the file may be incomplete while it is being written, or the system may briefly lack
+// descriptors.
 cherryrail::config::RelayConfig read_config_at_startup(const std::string& config_path) {
   using cherryrail::config::RelayConfig;
   auto config = cherryrail::net::retry_at_startup([&config_path]() -> std::optional<RelayConfig> {
@@ -56,22 +57,23 @@
   return path ? path : "";
 }
 
-// A subcommand that works on the configuration file; `config_path` outlives the parsing and holds the
-// default.
+// Adds a subcommand that takes the path of the configuration file. `config_path` holds the default and must
+// outlive the parsing.
 void add_config_command(CLI::App& app, const char* name, const char* description, ConfigCommand run,
                         std::string& config_path) {
   CLI::App* command = app.add_subcommand(name, description);
-  command->add_option("-c,--config", config_path, "the configuration file (else EDGE_CONFIG names it)");
+  command->add_option("-c,--config", config_path,
+                      "the configuration file (default: the value of EDGE_CONFIG)");
   command->callback([run, &config_path] { run(config_path); });
 }
 
-// The process's exit code. Throws whatever the command throws.
+// Returns the process's exit code. Exceptions of the commands propagate.
 int run_command_line(int argument_count, char** arguments) {
   std::string config_path = config_path_from_environment();
   CLI::App app("cherryrail, a relay for long-lived connections");
   app.require_subcommand(1);
   add_config_command(app, "serve", "run one relay until SIGTERM", &serve, config_path);
-  add_config_command(app, "check", "read and check the configuration, then end", &check, config_path);
+  add_config_command(app, "check", "validate the configuration and exit", &check, config_path);
   app.add_subcommand("version", "print the version")->callback(&print_version);
   try {
     app.parse(argument_count, arguments);
@@ -84,7 +86,7 @@
 }  // namespace
 
 int main(int argument_count, char** arguments) {
-  cherryrail::net::hold_back_handled_signals();
+  cherryrail::net::block_handled_signals();
   try {
     return run_command_line(argument_count, arguments);
   } catch (const std::exception& failure) {
--- a/src/net/address.cpp
+++ b/src/net/address.cpp
@@ -6,8 +6,8 @@
 namespace cherryrail::net {
 namespace {
 
-constexpr std::uint64_t kSmallestPort = 1;
-constexpr std::uint64_t kLargestPort = 65535;
+constexpr std::uint64_t kMinPort = 1;
+constexpr std::uint64_t kMaxPort = 65535;
 
 std::string without_brackets(const std::string& host) {
   const bool has_brackets = host.size() > 2 && host.front() == '[' && host.back() == ']';
@@ -16,7 +16,7 @@
 
 std::optional<guint> parse_port(const char* text) {
   guint64 port = 0;
-  const gboolean is_port = g_ascii_string_to_unsigned(text, 10, kSmallestPort, kLargestPort, &port, nullptr);
+  const gboolean is_port = g_ascii_string_to_unsigned(text, 10, kMinPort, kMaxPort, &port, nullptr);
   if (is_port == FALSE) return std::nullopt;
   return static_cast<guint>(port);
 }
--- a/src/net/address.hpp
+++ b/src/net/address.hpp
@@ -1,4 +1,4 @@
-// IP addresses with a port.
+// IP addresses with ports.
 #pragma once
 
 #include <gio/gio.h>
@@ -10,10 +10,11 @@
 
 namespace cherryrail::net {
 
-// Shared, since a backend's address is held by its entry and by what connects to it. Null: no address.
+// Shared, because a backend's address is held by the backend's entry and by each connection to the backend.
+// Null stands for no address.
 using Address = std::shared_ptr<GSocketAddress>;
 
-// "10.0.0.4:7070" or "[::1]:7070"; null where the text is neither. Names are not resolved.
+// Parses "10.0.0.4:7070" or "[::1]:7070"; null if the text is invalid. Host names are not resolved.
 Address parse_address(const std::string& text);
 
 }  // namespace cherryrail::net
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -14,16 +14,16 @@
 namespace cherryrail::net {
 namespace {
 
-// After close_gracefully: a peer that sends nothing has this long to take the last lines, and one that goes
-// on sending this long altogether.
-constexpr Micros kQuietLinger = 1'000'000;
-constexpr Micros kLongestLinger = 4'000'000;
+// After close_gracefully, the time that the peer has to read the last lines: kLingerIdleTimeout while it
+// sends nothing, kMaxLingerDuration in total if it keeps sending.
+constexpr Micros kLingerIdleTimeout = 1'000'000;
+constexpr Micros kMaxLingerDuration = 4'000'000;
 
-// Bytes read at once: some messages, and little enough for the stack.
-constexpr std::size_t kReadSize = 16384;
+// Room for several messages, and small enough for the stack.
+constexpr std::size_t kReadBufferSize = 16384;
 
-// Pieces of one send that go out without a copy; no caller has more.
-constexpr std::size_t kMostVectors = 8;
+// How many pieces one send writes without copying; no caller passes more.
+constexpr std::size_t kMaxVectors = 8;
 
 }  // namespace
 
@@ -63,7 +63,7 @@
 
 void Connection::update_interest() {
   if (!watch_) return;
-  const bool wants_input = !is_connecting_ && is_reading_ && !has_peer_ended_;
+  const bool wants_input = !is_connecting_ && is_reading_ && !has_peer_ended_sending_;
   const bool wants_output = is_connecting_ || !unsent_.empty();
   watch_->set_interest(wants_input, wants_output);
 }
@@ -95,7 +95,7 @@
 
 bool Connection::is_transferable() const {
   const bool is_established = is_open() && !is_connecting_ && !is_lingering_;
-  const bool is_open_both_ways = send_state_ == SendState::open && !has_peer_ended_;
+  const bool is_open_both_ways = send_state_ == SendState::open && !has_peer_ended_sending_;
   return is_established && is_open_both_ways && unsent_.empty();
 }
 
@@ -103,15 +103,16 @@
 
 void Connection::read_now() {
   const auto keep_alive = shared_from_this();
-  if (is_open() && !is_connecting_ && is_reading_ && !has_peer_ended_) receive();
+  if (is_open() && !is_connecting_ && is_reading_ && !has_peer_ended_sending_) receive();
 }
 
 void Connection::receive() {
   if (is_lingering_) {
-    discard();
+    discard_received();
     return;
   }
-  std::array<char, kReadSize> bytes;  // NOLINT(cppcoreguidelines-pro-type-member-init): filled by the read
+  // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): filled by the read
+  std::array<char, kReadBufferSize> bytes;
   GlibError error;
   const gssize count = g_socket_receive(socket_.get(), bytes.data(), bytes.size(), nullptr, error.out());
   if (count > 0) {
@@ -119,23 +120,24 @@
     return;
   }
   if (count < 0) {
-    if (!error.is_to_be_continued()) fail();
+    if (!error.is_retryable()) fail();
     return;
   }
-  has_peer_ended_ = true;
+  has_peer_ended_sending_ = true;
   update_interest();
   if (handler_) handler_->on_end_of_stream();
 }
 
-// A peer that has its answer may still send megabytes; to copy them would cost the time that sessions need.
-void Connection::discard() {
+// The peer may still send megabytes after its last response; copying them would take time from other
+// sessions.
+void Connection::discard_received() {
   const ssize_t count = discard_input(socket_.get());
   if (count > 0) {
     last_discard_at_ = event_loop_.now();
     return;
   }
-  const bool is_later = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
-  if (!is_later) close();
+  const bool is_retryable = count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
+  if (!is_retryable) close();
 }
 
 void Connection::send(std::initializer_list<std::string_view> pieces) {
@@ -144,18 +146,18 @@
   if (unsent_.empty() && !is_connecting_) {
     const std::optional<std::size_t> written = write_gathered(pieces);
     if (!written) {
-      fail_after_this_step();
+      post_failure();
       return;
     }
     sent = *written;
   }
-  keep_unsent(pieces, sent);
+  buffer_unsent(pieces, sent);
   update_interest();
 }
 
-// Writes the pieces from where they lie and tells how many bytes the kernel took; nothing on failure.
+// Writes the pieces without copying them. Returns how many bytes the kernel accepted, or nothing on failure.
 std::optional<std::size_t> Connection::write_gathered(std::initializer_list<std::string_view> pieces) {
-  std::array<GOutputVector, kMostVectors> vectors{};
+  std::array<GOutputVector, kMaxVectors> vectors{};
   std::size_t count = 0;
   for (const std::string_view piece : pieces) {
     if (count == vectors.size()) break;
@@ -165,11 +167,11 @@
   GlibError error;
   const gssize sent = g_socket_send_message(socket_.get(), nullptr, vectors.data(), static_cast<gint>(count),
                                             nullptr, 0, G_SOCKET_MSG_NONE, nullptr, error.out());
-  if (sent < 0 && !error.is_to_be_continued()) return std::nullopt;
+  if (sent < 0 && !error.is_retryable()) return std::nullopt;
   return sent > 0 ? static_cast<std::size_t>(sent) : 0;
 }
 
-void Connection::keep_unsent(std::initializer_list<std::string_view> pieces, std::size_t sent) {
+void Connection::buffer_unsent(std::initializer_list<std::string_view> pieces, std::size_t sent) {
   for (const std::string_view piece : pieces) {
     const std::size_t skipped = std::min(sent, piece.size());
     sent -= skipped;
@@ -181,14 +183,14 @@
   GlibError error;
   const gssize sent = g_socket_send(socket_.get(), unsent_.data(), unsent_.size(), nullptr, error.out());
   if (sent < 0) {
-    if (!error.is_to_be_continued()) fail();
+    if (!error.is_retryable()) fail();
     return;
   }
   unsent_.erase(0, static_cast<std::size_t>(sent));
   if (!unsent_.empty()) return;
   release_buffer();
   if (send_state_ != SendState::open) shut_down_sending();
-  if (is_lingering_ && has_peer_ended_) {
+  if (is_lingering_ && has_peer_ended_sending_) {
     close();
     return;
   }
@@ -196,7 +198,7 @@
   if (handler_) handler_->on_all_sent();
 }
 
-// An idle connection keeps no buffer; clear() would keep its memory.
+// Frees the memory, which clear() would keep: an idle connection holds no buffer.
 void Connection::release_buffer() { std::string().swap(unsent_); }
 
 void Connection::end_sending() {
@@ -211,12 +213,12 @@
   g_socket_shutdown(socket_.get(), FALSE, TRUE, nullptr);
 }
 
-// Closing a socket on which unread bytes lie sends a reset, which may overtake the last line. So the sending
-// ends first, and what the peer still sends is read and dropped until it ends too.
+// Closing a socket with unread input sends a reset, which can make the peer lose the last line. So this side
+// ends its sending first, then reads and discards input until the peer ends its sending too.
 void Connection::close_gracefully() {
   if (!is_open()) return;
   handler_ = nullptr;
-  if (has_peer_ended_ && unsent_.empty()) {
+  if (has_peer_ended_sending_ && unsent_.empty()) {
     close();
     return;
   }
@@ -224,32 +226,32 @@
   is_lingering_ = true;
   set_reading(true);
   last_discard_at_ = event_loop_.now();
-  linger_until_quiet(event_loop_.now() + kLongestLinger);
+  linger_until_idle(event_loop_.now() + kMaxLingerDuration);
 }
 
-void Connection::linger_until_quiet(Micros latest) {
-  const Micros next_check = std::min(last_discard_at_ + kQuietLinger, latest);
-  event_loop_.call_at(next_check, [self = shared_from_this(), latest] {
+void Connection::linger_until_idle(Micros deadline) {
+  const Micros next_check = std::min(last_discard_at_ + kLingerIdleTimeout, deadline);
+  event_loop_.call_at(next_check, [self = shared_from_this(), deadline] {
     if (!self->is_open()) return;
     const Micros now = self->event_loop_.now();
-    const bool is_quiet = now - self->last_discard_at_ >= kQuietLinger;
-    if (now >= latest || is_quiet) {
+    const bool is_idle = now - self->last_discard_at_ >= kLingerIdleTimeout;
+    if (now >= deadline || is_idle) {
       self->close();
       return;
     }
-    self->linger_until_quiet(latest);
+    self->linger_until_idle(deadline);
   });
 }
 
 void Connection::close_discarding_input() {
   if (!is_open()) return;
   handler_ = nullptr;
-  unsent_.erase(0, send_as_far_as_possible(socket_.get(), unsent_));
+  unsent_.erase(0, send_until_blocked(socket_.get(), unsent_));
   if (!unsent_.empty()) {
     close_gracefully();
     return;
   }
-  discard();
+  discard_received();
   close();
 }
 
@@ -263,7 +265,7 @@
 
 void Connection::reset() {
   if (!is_open()) return;
-  const linger discard_and_reset{1, 0};  // a linger of no time makes the close a reset
+  const linger discard_and_reset{1, 0};  // with a linger time of 0, close sends a reset
   setsockopt(descriptor(), SOL_SOCKET, SO_LINGER, &discard_and_reset, sizeof(discard_and_reset));
   close();
 }
@@ -274,8 +276,8 @@
   if (handler) handler->on_connection_lost();
 }
 
-// The caller of send is in the middle of its own step and must not hear of the failure within it.
-void Connection::fail_after_this_step() {
+// Reports the failure from the event loop: the caller of send must not get a callback during the call.
+void Connection::post_failure() {
   event_loop_.post([weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->fail();
   });
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -18,9 +18,9 @@
 namespace cherryrail::net {
 namespace {
 
-// Of a source's ready time, by GLib's convention.
+// Special values of a GLib source's ready time.
 constexpr gint64 kNever = -1;
-constexpr gint64 kAtOnce = 0;
+constexpr gint64 kImmediately = 0;
 
 template <class Clock>
 Micros clock_micros() {
@@ -60,13 +60,13 @@
     : main_loop_(g_main_loop_new(nullptr, FALSE)), io_source_(*this, &EventLoop::dispatch_io),
       timer_source_(*this, &EventLoop::dispatch_timers),
       clock_origin_(clock_micros<std::chrono::system_clock>() - clock_micros<std::chrono::steady_clock>()) {
-  // GLib's own poll would walk every socket in every round, so it gets one descriptor that stands for all.
+  // GLib's poll would scan every socket in each iteration, so it watches only the epoll descriptor.
   g_source_add_unix_fd(io_source_.get(), poller_.descriptor(), G_IO_IN);
-  std::signal(SIGPIPE, SIG_IGN);  // NOLINT(cert-err33-c): a socket without a reader is found out by the write
+  std::signal(SIGPIPE, SIG_IGN);  // NOLINT(cert-err33-c): a write to a closed socket reports the error
   sigemptyset(&handled_signals_);
 }
 
-void hold_back_handled_signals() {
+void block_handled_signals() {
   sigset_t signals;
   sigemptyset(&signals);
   for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&signals, signal);
@@ -74,7 +74,7 @@
 }
 
 EventLoop::~EventLoop() {
-  // What the callbacks hold, watches among it, goes while the loop is whole.
+  // Callbacks may own watches and other objects that use the loop, so they are destroyed first.
   posted_.clear();
   timers_.clear();
   signal_watch_.reset();
@@ -94,13 +94,13 @@
 
 void EventLoop::post(Callback callback) {
   posted_.push_back(std::move(callback));
-  if (posted_.size() == 1) g_source_set_ready_time(timer_source_.get(), kAtOnce);
+  if (posted_.size() == 1) g_source_set_ready_time(timer_source_.get(), kImmediately);
 }
 
 void EventLoop::arm_timer_source() {
   gint64 ready_time = kNever;
-  if (!timers_.empty()) ready_time = std::max(kAtOnce, timers_.begin()->first - clock_origin_);
-  if (!posted_.empty()) ready_time = kAtOnce;
+  if (!timers_.empty()) ready_time = std::max(kImmediately, timers_.begin()->first - clock_origin_);
+  if (!posted_.empty()) ready_time = kImmediately;
   g_source_set_ready_time(timer_source_.get(), ready_time);
 }
 
@@ -111,20 +111,20 @@
 
 void EventLoop::on_reload(Callback callback) { on_signal(SIGHUP, std::move(callback)); }
 
-// GLib's own signal sources start a second thread, and a process stopped while that thread has a lock hangs
-// for good. So signals are read as sockets are, and the relay has one thread.
+// GLib's signal sources start a second thread, and a process that is stopped while that thread holds a lock
+// hangs forever. So signals are read from a signalfd, and the relay has a single thread.
 void EventLoop::on_signal(int signal, Callback callback) {
   signal_callbacks_[signal] = std::move(callback);
   sigaddset(&handled_signals_, signal);
   sigprocmask(SIG_BLOCK, &handled_signals_, nullptr);
   if (signal_fd_) {
-    // Changes what the descriptor reads, which cannot fail.
+    // Updates the signal set of the descriptor, which cannot fail.
     static_cast<void>(signalfd(signal_fd_.get(), &handled_signals_, 0));
     return;
   }
   signal_fd_ = retry_at_startup(
       [this] { return FileDescriptor(signalfd(-1, &handled_signals_, SFD_CLOEXEC | SFD_NONBLOCK)); });
-  if (!signal_fd_) throw std::runtime_error(std::string("signalfd: ") + std::strerror(errno));
+  if (!signal_fd_) throw std::runtime_error(std::string("cannot create a signalfd: ") + std::strerror(errno));
   signal_watch_ = std::make_unique<IoWatch>(*this, signal_fd_.get(), [this](bool, bool) { read_signals(); });
   signal_watch_->set_interest(true, false);
 }
@@ -132,7 +132,8 @@
 void EventLoop::read_signals() {
   signalfd_siginfo received{};
   while (read(signal_fd_.get(), &received, sizeof(received)) == sizeof(received)) {
-    const Callback callback = signal_callbacks_[static_cast<int>(received.ssi_signo)];  // it may be replaced
+    const Callback callback =
+        signal_callbacks_[static_cast<int>(received.ssi_signo)];  // a copy: the callback may be replaced
     run_guarded(callback);
   }
 }
@@ -141,7 +142,7 @@
 void EventLoop::run_once() { g_main_context_iteration(nullptr, FALSE); }
 void EventLoop::quit() { g_main_loop_quit(main_loop_.get()); }
 
-// An exception must not cross GLib's C frames, and one failed callback must not end the process.
+// An exception must not propagate through GLib's C frames, and a failed callback must not end the process.
 template <class Call>
 void EventLoop::run_guarded(const Call& call) {
   try {
@@ -164,9 +165,10 @@
   arm_timer_source();
 }
 
-// Only what had been posted before: what these post waits for the next round, so that sockets get their turn.
+// Runs only the callbacks posted so far. Those posted meanwhile wait for the next iteration, so that sockets
+// are not starved.
 void EventLoop::run_posted() {
-  for (std::size_t left = posted_.size(); left > 0 && !posted_.empty(); --left) {
+  for (std::size_t remaining = posted_.size(); remaining > 0 && !posted_.empty(); --remaining) {
     const Callback callback = std::move(posted_.front());
     posted_.pop_front();
     run_guarded(callback);
@@ -174,8 +176,8 @@
 }
 
 void EventLoop::run_due_timers() {
-  const Micros due = now();
-  while (!timers_.empty() && timers_.begin()->first <= due) {
+  const Micros started_at = now();
+  while (!timers_.empty() && timers_.begin()->first <= started_at) {
     const Callback callback = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
     run_guarded(callback);
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,5 +1,5 @@
-// The event loop: GLib's main loop as the rest of the program sees it. Descriptors that become ready, timers,
-// posted callbacks and signals, all on one thread.
+// The event loop, a wrapper of GLib's main loop: ready descriptors, timers, posted callbacks and signals, all
+// on one thread.
 #pragma once
 
 #include <glib.h>
@@ -18,13 +18,13 @@
 
 namespace cherryrail::net {
 
-// Has the signals that an event loop handles wait until there is one: at a start, each of them would end the
+// Blocks the signals that an event loop handles until one exists; during startup, each of them would end the
 // process. Called once, before anything else.
-void hold_back_handled_signals();
+void block_handled_signals();
 
-// One for the process: it uses GLib's default context and the process's signal mask. In each round the
-// callbacks of descriptors come first, then what had been posted, then timers. A callback that throws a
-// std::exception is logged, and the loop goes on.
+// One per process, since it uses GLib's default context and the process's signal mask. Each iteration calls
+// back ready descriptors first, then posted callbacks, then due timers. If a callback throws a
+// std::exception, the error is logged and the loop continues.
 class EventLoop {
  public:
   using Callback = std::function<void()>;
@@ -35,37 +35,39 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Unix time in microseconds that never jumps: the steady clock, set by the system clock at the start.
+  // Unix time in microseconds that never jumps: the steady clock plus an offset taken from the system clock
+  // at startup.
   Micros now() const;
-  // What now() adds to the steady clock: the Unix time at which that was 0, as the wall clock had it at the
-  // start.
+  // The offset that now() adds to the steady clock: the Unix time at which the steady clock was 0, according
+  // to the wall clock at startup.
   Micros clock_origin() const { return clock_origin_; }
-  // How far the wall clock has been stepped since then.
+  // How far the wall clock has been stepped since startup.
   Micros wall_clock_step() const;
-  // Calls back once `when` has come. It cannot be taken back; callbacks for one moment go in the order asked.
+  // Schedules a callback at `when`. It cannot be cancelled; callbacks with equal times run in the order of
+  // the calls.
   void call_at(Micros when, Callback callback);
-  // Calls back after what is under way, in the order asked.
+  // Schedules a callback after the current one; posted callbacks run in the order of the calls.
   void post(Callback callback);
-  // At SIGTERM or SIGINT.
+  // Sets the callback for SIGTERM and SIGINT.
   void on_terminate(Callback callback);
-  // At SIGHUP.
+  // Sets the callback for SIGHUP.
   void on_reload(Callback callback);
 
-  // Until quit.
+  // Runs until quit() is called.
   void run();
-  // One round, without waiting.
+  // Runs one iteration without blocking.
   void run_once();
   void quit();
 
   Log& log() { return log_; }
-  // How many descriptors are watched.
+  // The number of watched descriptors.
   std::size_t watch_count() const { return poller_.watch_count(); }
 
  private:
   friend class IoPoller;
   friend class IoWatch;
 
-  // A GLib source that calls one member function of the loop when it is ready.
+  // A GLib source that calls a member function of the event loop when ready.
   class LoopSource {
    public:
     using Dispatch = void (EventLoop::*)();
@@ -99,7 +101,8 @@
   Log log_;
   std::unique_ptr<GMainLoop, MainLoopUnref> main_loop_;
   IoPoller poller_;
-  // In this order: after a stall both are ready, and timers would fail attempts whose answers have come.
+  // This order matters: after a stall both sources are ready, and timers that ran first would fail attempts
+  // whose responses have already arrived.
   LoopSource io_source_;
   LoopSource timer_source_;
   Micros clock_origin_;
--- a/src/net/file_descriptor.hpp
+++ b/src/net/file_descriptor.hpp
@@ -7,8 +7,8 @@
 
 namespace cherryrail::net {
 
-// Closes its descriptor when it ends. Empty, a descriptor below 0, if it was moved from or given a failed
-// call's result.
+// Closes its descriptor on destruction. Empty, with a descriptor below 0, after a move or if constructed from
+// the result of a failed call.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
@@ -16,7 +16,7 @@
   FileDescriptor(const FileDescriptor&) = delete;
   FileDescriptor& operator=(const FileDescriptor&) = delete;
   FileDescriptor(FileDescriptor&& other) noexcept : fd_(other.release()) {}
-  // The former descriptor is closed with `other`.
+  // `other` receives the previous descriptor and closes it.
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
     std::swap(fd_, other.fd_);
     return *this;
@@ -25,9 +25,9 @@
     if (fd_ >= 0) close(fd_);
   }
 
-  // Still owned by this object; below 0 if there is none.
+  // The descriptor, which this object still owns; below 0 if empty.
   [[nodiscard]] int get() const { return fd_; }
-  // From now on the caller's to close.
+  // Passes the ownership of the descriptor to the caller.
   [[nodiscard]] int release() { return std::exchange(fd_, -1); }
   explicit operator bool() const { return fd_ >= 0; }
 
--- a/src/net/glib_handles.hpp
+++ b/src/net/glib_handles.hpp
@@ -1,16 +1,16 @@
-// Ownership of what GLib hands out: objects and errors.
+// RAII handles for GLib objects and errors.
 #pragma once
 
 #include <gio/gio.h>
 
 namespace cherryrail::net {
 
-// The deleter of a GObject held by a standard smart pointer.
+// Deleter for a GObject in a standard smart pointer.
 struct GObjectUnref {
   void operator()(gpointer object) const { g_object_unref(object); }
 };
 
-// Takes the error of one GIO call and frees it.
+// Receives the error of one GIO call and frees it.
 class GlibError {
  public:
   GlibError() = default;
@@ -18,12 +18,12 @@
   GlibError(const GlibError&) = delete;
   GlibError& operator=(const GlibError&) = delete;
 
-  // To be passed as the last argument of the call.
+  // Pass as the last argument of the call.
   GError** out() { return &error_; }
   const char* message() const { return error_ ? error_->message : "unknown"; }
   bool is_would_block() const { return g_error_matches(error_, G_IO_ERROR, G_IO_ERROR_WOULD_BLOCK) != FALSE; }
-  // The call goes on by itself or has to be made again once the socket is ready: no failure.
-  bool is_to_be_continued() const {
+  // Not a failure: the call is pending, or has to be repeated once the socket is ready.
+  bool is_retryable() const {
     return is_would_block() || g_error_matches(error_, G_IO_ERROR, G_IO_ERROR_PENDING) != FALSE;
   }
 
--- a/src/net/io_poller.cpp
+++ b/src/net/io_poller.cpp
@@ -14,10 +14,10 @@
 
 constexpr std::uint32_t kInput = EPOLLIN;
 constexpr std::uint32_t kOutput = EPOLLOUT;
-constexpr std::uint32_t kBroken = EPOLLHUP | EPOLLERR;
+constexpr std::uint32_t kHangUpOrError = EPOLLHUP | EPOLLERR;
 
-// After a refusal the kernel is asked again so much later.
-constexpr Micros kUpdatePause = 5'000;
+// The delay before a failed epoll_ctl is retried.
+constexpr Micros kUpdateRetryDelay = 5'000;
 
 bool has_any(std::uint32_t events, std::uint32_t wanted) { return (events & wanted) != 0; }
 
@@ -37,19 +37,20 @@
   const std::uint32_t input = wants_input ? kInput : 0;
   const std::uint32_t output = wants_output ? kOutput : 0;
   wanted_interest_ = input | output;
-  if (!poller_.update(*this)) IoPoller::schedule_update(event_loop_);
+  if (!poller_.update(*this)) IoPoller::schedule_update_retry(event_loop_);
 }
 
 IoPoller::IoPoller() : epoll_(retry_at_startup([] { return FileDescriptor(epoll_create1(EPOLL_CLOEXEC)); })) {
-  if (!epoll_) throw std::runtime_error(std::string("epoll: ") + std::strerror(errno));
+  if (!epoll_)
+    throw std::runtime_error(std::string("cannot create an epoll instance: ") + std::strerror(errno));
 }
 
 void IoPoller::add(IoWatch& /*watch*/) { ++watch_count_; }
 
 void IoPoller::remove(IoWatch& watch) {
   --watch_count_;
-  std::erase(outdated_, &watch);
-  // The rest of the batch under way may still name a watch that a callback has just destroyed.
+  std::erase(failed_updates_, &watch);
+  // The rest of the current batch may still refer to this watch, which a callback has just destroyed.
   for (std::size_t i = batch_position_; i < batch_end_; ++i) {
     if (batch_[i].data.ptr == &watch) batch_[i].data.ptr = nullptr;
   }
@@ -63,26 +64,26 @@
   event.data.ptr = &watch;
   int operation = EPOLL_CTL_MOD;
   if (watch.interest_ == 0) operation = EPOLL_CTL_ADD;
-  // A watch that wants nothing leaves the set: its hang-up would be reported without end.
+  // A watch without interest leaves the epoll set, which would otherwise keep reporting a hang-up.
   if (interest == 0) operation = EPOLL_CTL_DEL;
-  const bool is_refused = epoll_ctl(epoll_.get(), operation, watch.fd_, &event) != 0;
-  if (is_refused && operation != EPOLL_CTL_DEL) {
-    outdated_.push_back(&watch);
+  const bool has_failed = epoll_ctl(epoll_.get(), operation, watch.fd_, &event) != 0;
+  if (has_failed && operation != EPOLL_CTL_DEL) {
+    failed_updates_.push_back(&watch);
     return false;
   }
   watch.interest_ = interest;
   return true;
 }
 
-void IoPoller::schedule_update(EventLoop& event_loop) {
-  event_loop.call_at(event_loop.now() + kUpdatePause,
-                     [&event_loop] { event_loop.poller_.update_outdated(event_loop); });
+void IoPoller::schedule_update_retry(EventLoop& event_loop) {
+  event_loop.call_at(event_loop.now() + kUpdateRetryDelay,
+                     [&event_loop] { event_loop.poller_.retry_failed_updates(event_loop); });
 }
 
-void IoPoller::update_outdated(EventLoop& event_loop) {
-  bool are_updated = true;
-  for (IoWatch* const watch : std::exchange(outdated_, {})) are_updated = update(*watch) && are_updated;
-  if (!are_updated) schedule_update(event_loop);
+void IoPoller::retry_failed_updates(EventLoop& event_loop) {
+  bool all_updated = true;
+  for (IoWatch* const watch : std::exchange(failed_updates_, {})) all_updated = update(*watch) && all_updated;
+  if (!all_updated) schedule_update_retry(event_loop);
 }
 
 void IoPoller::wait() {
@@ -97,8 +98,8 @@
     ++batch_position_;
     const auto* watch = static_cast<const IoWatch*>(event.data.ptr);
     if (!watch) continue;
-    // A hang-up or an error is found out by reading or writing, whichever is wanted.
-    const bool is_broken = has_any(event.events, kBroken);
+    // The callback detects a hang-up or an error by reading or writing, depending on the watch's interest.
+    const bool is_broken = has_any(event.events, kHangUpOrError);
     const std::uint32_t ready = event.events | (is_broken ? watch->interest_ : 0);
     return ReadyIo{watch->callback_, has_any(ready, kInput), has_any(ready, kOutput)};
   }
--- a/src/net/io_poller.hpp
+++ b/src/net/io_poller.hpp
@@ -1,4 +1,4 @@
-// Which descriptors are ready: an epoll set and the watches in it.
+// Readiness of descriptors: an epoll set and its watches.
 #pragma once
 
 #include <sys/epoll.h>
@@ -17,19 +17,19 @@
 class EventLoop;
 class IoPoller;
 
-// Calls back when a descriptor can be read or written, as long as it can (level-triggered). The watch ends
-// with the object, which has to go before the descriptor is closed and before the loop.
+// Calls back whenever a descriptor is readable or writable (level-triggered). The object must be destroyed
+// before the descriptor is closed and before the event loop.
 class IoWatch {
  public:
   using Callback = std::function<void(bool is_readable, bool is_writable)>;
 
-  // Wants nothing at first.
+  // Initially without interest.
   IoWatch(EventLoop& event_loop, int fd, Callback callback);
   ~IoWatch();
   IoWatch(const IoWatch&) = delete;
   IoWatch& operator=(const IoWatch&) = delete;
 
-  // Holds from now on, or from soon after where the system has no memory for it just now.
+  // Takes effect immediately, or after a retry if the kernel temporarily lacks the memory.
   void set_interest(bool wants_input, bool wants_output);
 
  private:
@@ -39,16 +39,16 @@
   IoPoller& poller_;
   int fd_;
   Callback callback_;
-  std::uint32_t wanted_interest_ = 0;  // epoll's bits
-  std::uint32_t interest_ = 0;         // those that the kernel knows
+  std::uint32_t wanted_interest_ = 0;  // epoll event bits
+  std::uint32_t interest_ = 0;         // the bits last set in the kernel
 };
 
-// The epoll set of one event loop. The loop calls wait and then takes what is ready with next, one at a time:
-// between two of these any watch may come or go.
+// The epoll set of one event loop. The loop calls wait(), then next() for each ready descriptor; watches may
+// be created and destroyed between these calls.
 class IoPoller {
  public:
   struct ReadyIo {
-    IoWatch::Callback callback;  // a copy: the watch may go while it is called
+    IoWatch::Callback callback;  // a copy: the call may destroy the watch
     bool is_readable = false;
     bool is_writable = false;
   };
@@ -59,13 +59,13 @@
   IoPoller& operator=(const IoPoller&) = delete;
   ~IoPoller() = default;
 
-  // Readable whenever any watch is ready.
+  // A descriptor that is readable whenever any watch is ready.
   int descriptor() const { return epoll_.get(); }
   std::size_t watch_count() const { return watch_count_; }
 
-  // Fetches a batch of what is ready, without waiting.
+  // Fetches a batch of ready descriptors without blocking.
   void wait();
-  // The next of the batch; nothing at its end.
+  // The next ready descriptor of the batch; empty at its end.
   std::optional<ReadyIo> next();
 
  private:
@@ -73,12 +73,12 @@
 
   void add(IoWatch& watch);
   void remove(IoWatch& watch);
-  // False if the kernel refused; update_outdated() is to be called then.
+  // Returns false if the kernel rejected the change; retry_failed_updates() must then be called.
   bool update(IoWatch& watch);
-  void update_outdated(EventLoop& event_loop);
-  static void schedule_update(EventLoop& event_loop);
+  void retry_failed_updates(EventLoop& event_loop);
+  static void schedule_update_retry(EventLoop& event_loop);
 
-  // More than the sockets that are ready in one round at full load; the rest comes with the next round.
+  // More than the sockets that are ready in one iteration at full load; any others follow in the next one.
   static constexpr std::size_t kBatchSize = 256;
 
   FileDescriptor epoll_;
@@ -86,7 +86,7 @@
   std::size_t batch_end_ = 0;
   std::size_t batch_position_ = 0;
   std::size_t watch_count_ = 0;
-  std::vector<IoWatch*> outdated_;  // whose interest the kernel does not know yet
+  std::vector<IoWatch*> failed_updates_;  // watches whose interest is not set in the kernel yet
 };
 
 }  // namespace cherryrail::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -13,18 +13,18 @@
 namespace cherryrail::net {
 namespace {
 
-// So long nothing is accepted once that has failed, as it does with no descriptor left.
-constexpr Micros kAcceptPause = 20'000;
-// The same while the socket is about to be closed.
-constexpr Micros kDrainPause = 5'000;
+// How long accepting pauses after a failure, for example when no descriptor is left.
+constexpr Micros kAcceptRetryDelay = 20'000;
+// The same while close_once_drained empties the accept queue.
+constexpr Micros kDrainRetryDelay = 5'000;
 
-// A whole fleet's clients may reconnect within one round of the loop.
+// Large, because the clients of a whole fleet may reconnect within one iteration of the event loop.
 constexpr int kBacklog = 4096;
 
-// Connections accepted at once, so that a crowd does not keep the sessions that stand waiting.
-constexpr int kAcceptBatch = 64;
+// Limits the connections accepted per iteration, so that a burst does not delay established sessions.
+constexpr int kMaxAcceptsPerIteration = 64;
 
-// Null on failure, with the problem named.
+// Returns null on failure and sets `problem`.
 SocketPtr try_to_listen(const Address& address, std::string& problem) {
   GlibError error;
   SocketPtr socket = create_tcp_socket(address, error);
@@ -50,7 +50,7 @@
     : event_loop_(event_loop), socket_(std::move(socket)), on_accepted_(std::move(on_accepted)) {
   g_socket_set_blocking(socket_.get(), FALSE);
   watch_ = std::make_unique<IoWatch>(event_loop_, g_socket_get_fd(socket_.get()),
-                                     [this](bool, bool) { accept_some(); });
+                                     [this](bool, bool) { accept_batch(); });
 }
 
 void Listener::set_accepting(bool is_accepting) {
@@ -58,37 +58,40 @@
   if (watch_) watch_->set_interest(is_accepting, false);
 }
 
-// Whoever has connected counts as accepted, also if accepting fails just now.
-void Listener::close_once_drained(Micros latest) {
+// A client that has connected counts as accepted, so a temporary failure to accept is retried.
+void Listener::close_once_drained(Micros deadline) {
   if (!socket_) return;
-  const AcceptResult result = accept_until_stopped(kBacklog);
-  if (result != AcceptResult::out_of_resources || event_loop_.now() >= latest) {
+  const AcceptResult result = accept_up_to(kBacklog);
+  if (result != AcceptResult::out_of_resources || event_loop_.now() >= deadline) {
     watch_.reset();
     socket_.reset();
     return;
   }
   watch_->set_interest(false, false);
-  event_loop_.call_at(event_loop_.now() + kDrainPause, [this, latest, alive = std::weak_ptr<bool>(alive_)] {
-    if (!alive.expired()) close_once_drained(latest);
-  });
+  event_loop_.call_at(event_loop_.now() + kDrainRetryDelay,
+                      [this, deadline, alive = std::weak_ptr<bool>(alive_)] {
+                        if (!alive.expired()) close_once_drained(deadline);
+                      });
 }
 
-void Listener::accept_some() {
+void Listener::accept_batch() {
   if (!is_accepting_) return;
-  if (accept_until_stopped(kAcceptBatch) == AcceptResult::out_of_resources) pause();
+  if (accept_up_to(kMaxAcceptsPerIteration) == AcceptResult::out_of_resources) pause_accepting();
 }
 
-// The first result after which accepting at once makes no sense, or that of the last of so many.
-Listener::AcceptResult Listener::accept_until_stopped(int most) {
+// Accepts up to `max_count` connections. Stops early, returning the reason, if none is waiting or resources
+// are exhausted; otherwise returns the last result.
+Listener::AcceptResult Listener::accept_up_to(int max_count) {
   AcceptResult result = AcceptResult::none_waiting;
-  for (int i = 0; i < most && socket_; ++i) {
+  for (int i = 0; i < max_count && socket_; ++i) {
     result = accept_one();
     if (result == AcceptResult::none_waiting || result == AcceptResult::out_of_resources) break;
   }
   return result;
 }
 
-// GIO's own call does not tell a connection that was reset in the queue from a want of descriptors.
+// Calls accept4 directly: GIO's errors do not distinguish a connection that was reset in the queue from a
+// lack of descriptors.
 Listener::AcceptResult Listener::accept_one() {
   const int fd = accept4(g_socket_get_fd(socket_.get()), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   if (fd >= 0) {
@@ -98,14 +101,14 @@
   const int error = errno;
   if (error == EAGAIN || error == EWOULDBLOCK) return AcceptResult::none_waiting;
   event_loop_.log().write(Topic::error, "cannot accept a connection: {}", g_strerror(error));
-  const bool is_resource = error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
-  return is_resource ? AcceptResult::out_of_resources : AcceptResult::connection_lost;
+  const bool is_resource_shortage = error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
+  return is_resource_shortage ? AcceptResult::out_of_resources : AcceptResult::connection_lost;
 }
 
-// With no descriptor left the socket stays ready, and the loop would spin on it.
-void Listener::pause() {
+// Without a free descriptor the socket stays ready, and the event loop would spin.
+void Listener::pause_accepting() {
   watch_->set_interest(false, false);
-  event_loop_.call_at(event_loop_.now() + kAcceptPause, [this, alive = std::weak_ptr<bool>(alive_)] {
+  event_loop_.call_at(event_loop_.now() + kAcceptRetryDelay, [this, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired()) set_accepting(is_accepting_);
   });
 }
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -11,42 +11,44 @@
 
 namespace cherryrail::net {
 
-// Bound and listening. Tries for three seconds, then throws std::runtime_error.
+// Creates a socket bound to `address` and listening. Retries for three seconds, then throws
+// std::runtime_error.
 SocketPtr create_listening_socket(const Address& address);
 
-// Hands on each connection that comes in, while that is wanted. It wants none at first.
+// Passes each incoming connection to a callback while accepting is enabled; it is disabled initially.
 class Listener {
  public:
   using OnAccepted = std::function<void(SocketPtr)>;
 
-  // `socket` is listening already; it may be shared with another process.
+  // `socket` is already listening; it may be shared with another process.
   Listener(EventLoop& event_loop, SocketPtr socket, OnAccepted on_accepted);
 
-  // While it does not accept, connections wait in the kernel's queue.
+  // While accepting is disabled, connections wait in the kernel's queue.
   void set_accepting(bool is_accepting);
-  // Hands on what has connected by now, and closes the socket. Where the system cannot give a descriptor now,
-  // tries again until `latest`.
-  void close_once_drained(Micros latest);
+  // Accepts the connections that are waiting, then closes the socket. If the system lacks descriptors,
+  // retries until `deadline`.
+  void close_once_drained(Micros deadline);
 
  private:
   enum class AcceptResult : std::uint8_t {
     accepted,
-    connection_lost,  // of that connection alone; the next one may be sound
+    connection_lost,  // only this connection failed; the next one may succeed
     none_waiting,
-    out_of_resources,  // of the process or the system
+    out_of_resources,  // the process or the system lacks descriptors or memory
   };
 
-  void accept_some();
-  AcceptResult accept_until_stopped(int most);
+  void accept_batch();
+  AcceptResult accept_up_to(int max_count);
   AcceptResult accept_one();
-  void pause();
+  void pause_accepting();
 
   EventLoop& event_loop_;
   SocketPtr socket_;
   OnAccepted on_accepted_;
   bool is_accepting_ = false;
   std::unique_ptr<IoWatch> watch_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // timers ask it whether this still exists
+  std::shared_ptr<bool> alive_ =
+      std::make_shared<bool>(true);  // lets timers detect that the listener is gone
 };
 
 }  // namespace cherryrail::net
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -13,7 +13,8 @@
 
 constexpr std::array<const char*, kTopicCount> kTopicNames = {"lifecycle", "connection", "balancer",
                                                               "discovery", "error"};
-// The rate limit's clock: steps of the wall clock must not stop the log.
+
+// The clock of the rate limit: steps of the wall clock must not stop the log.
 double steady_seconds() {
   const auto now = std::chrono::steady_clock::now().time_since_epoch();
   return std::chrono::duration<double>(now).count();
@@ -24,15 +25,15 @@
   return std::chrono::duration<double>(now).count();
 }
 
-// Whether a line can be written without waiting: a pipe whose reader has stopped would hold the relay up.
+// Whether a write would not block: a pipe whose reader has stopped would otherwise block the relay.
 bool can_write_now(int fd) {
   pollfd target{fd, POLLOUT, 0};
   const int ready = poll(&target, 1, 0);
-  if (ready < 0) return true;  // nothing is known: the write will tell
+  if (ready < 0) return true;  // unknown: the write reports any error
   return ready > 0 && (target.revents & POLLOUT) != 0;
 }
 
-// False if the line is lost, in whole or in part.
+// Returns false if the line is lost, entirely or partly.
 bool write_line(int fd, std::string_view line) {
   if (!can_write_now(fd)) return false;
   ssize_t written = 0;
@@ -44,31 +45,31 @@
 
 }  // namespace
 
-bool Log::is_allowed(Topic topic) {
+bool Log::take_token(Topic topic) {
   RateLimit& limit = limits_[static_cast<std::size_t>(topic)];
   const double now = steady_seconds();
   const double refill = std::max(0.0, now - limit.refilled_at) * kLinesPerSecond;
-  limit.lines = std::min(kBurst, limit.lines + refill);
+  limit.tokens = std::min(kBurstLines, limit.tokens + refill);
   limit.refilled_at = now;
-  if (limit.lines < 1) {
-    ++limit.left_out;
+  if (limit.tokens < 1) {
+    ++limit.omitted_lines;
     return false;
   }
-  limit.lines -= 1;
+  limit.tokens -= 1;
   return true;
 }
 
 void Log::emit(Topic topic, std::string_view text) {
   const auto index = static_cast<std::size_t>(topic);
-  std::size_t& left_out = limits_[index].left_out;
-  const std::string note = left_out > 0 ? fmt::format(" ({} lines left out before)", left_out) : "";
-  // One call for the whole line: lines of two processes on one stream then do not mix.
+  std::size_t& omitted_lines = limits_[index].omitted_lines;
+  const std::string note = omitted_lines > 0 ? fmt::format(" ({} lines left out before)", omitted_lines) : "";
+  // A single write for the whole line, so that the lines of two processes on one stream do not mix.
   const std::string line = fmt::format("{:.3f} {} {}{}\n", unix_seconds(), kTopicNames[index], text, note);
   if (write_line(STDERR_FILENO, line)) {
-    left_out = 0;
+    omitted_lines = 0;
     return;
   }
-  ++left_out;
+  ++omitted_lines;
   ++lost_lines_;
 }
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -11,8 +11,8 @@
 namespace cherryrail::net {
 namespace {
 
-// Bytes dropped by one call.
-constexpr std::size_t kDiscardSize = 65536;
+// How many bytes one call of discard_input discards at most.
+constexpr std::size_t kMaxDiscardedBytes = 65536;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
   return SocketPtr(g_socket_new(family, G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, error.out()));
 }
 
-// GIO's own call has one code for a port that is not to be had and a peer that refuses.
+// Calls connect directly: GIO uses one error code for a lack of local ports and a refusal by the peer.
 ConnectStart start_connecting(GSocket* socket, const Address& address) {
   sockaddr_storage native{};
   if (g_socket_address_to_native(address.get(), &native, sizeof(native), nullptr) == FALSE)
@@ -31,7 +31,7 @@
     return ConnectStart::in_progress;
   switch (errno) {
     case EINPROGRESS:
-    case EINTR:  // it goes on all the same
+    case EINTR:  // connecting continues in the background
       return ConnectStart::in_progress;
     case EADDRNOTAVAIL:
     case EAGAIN:
@@ -49,17 +49,17 @@
   SocketPtr socket(g_socket_new_from_fd(fd, error.out()));
   if (socket) return socket;
   ::close(fd);
-  throw std::runtime_error(std::string("cannot take a socket over: ") + error.message());
+  throw std::runtime_error(std::string("cannot adopt a socket: ") + error.message());
 }
 
 void send_and_close(SocketPtr socket, std::string_view line) {
   g_socket_set_blocking(socket.get(), FALSE);
-  send_as_far_as_possible(socket.get(), line);
-  // Unread input would turn the close into a reset, which may overtake the line.
+  send_until_blocked(socket.get(), line);
+  // Unread input would turn the close into a reset, which can make the peer lose the line.
   discard_input(socket.get());
 }
 
-std::size_t send_as_far_as_possible(GSocket* socket, std::string_view bytes) {
+std::size_t send_until_blocked(GSocket* socket, std::string_view bytes) {
   std::size_t sent = 0;
   while (sent < bytes.size()) {
     const std::string_view rest = bytes.substr(sent);
@@ -70,9 +70,9 @@
   return sent;
 }
 
-// MSG_TRUNC has the kernel drop the bytes without copying them, so the buffer is never written.
+// With MSG_TRUNC the kernel discards the bytes without copying them, so the buffer is never written.
 ssize_t discard_input(GSocket* socket) {
-  std::array<char, kDiscardSize> unused;  // NOLINT(cppcoreguidelines-pro-type-member-init): see above
+  std::array<char, kMaxDiscardedBytes> unused;  // NOLINT(cppcoreguidelines-pro-type-member-init): see above
   return recv(g_socket_get_fd(socket), unused.data(), unused.size(), MSG_TRUNC | MSG_DONTWAIT);
 }
 
--- a/src/net/startup_retry.hpp
+++ b/src/net/startup_retry.hpp
@@ -1,20 +1,20 @@
-// What a process needs at its start and may not get at once.
+// Retries for resources that may be temporarily unavailable when the process starts.
 #pragma once
 
 #include <poll.h>
 
 namespace cherryrail::net {
 
-// Calls `make` until its result is true, 20 ms apart and for three seconds at most, and returns the last
-// result. A system that is short of descriptors or buffers is so for a moment; a process that gave up would
-// serve nobody. It waits, so it is only for the time before the event loop runs.
+// Calls `make` until its result is true, every 20 ms for at most three seconds, and returns the last result.
+// A shortage of descriptors or buffers is usually brief, and a process that gave up would serve no clients.
+// Blocks, so it must only be used before the event loop runs.
 template <class Make>
 auto retry_at_startup(const Make& make) {
-  constexpr int kAttempts = 150;
-  constexpr int kPauseMilliseconds = 20;
+  constexpr int kMaxAttempts = 150;
+  constexpr int kRetryIntervalMilliseconds = 20;
   auto result = make();
-  for (int attempt = 1; attempt < kAttempts && !result; ++attempt) {
-    poll(nullptr, 0, kPauseMilliseconds);
+  for (int attempt = 1; attempt < kMaxAttempts && !result; ++attempt) {
+    poll(nullptr, 0, kRetryIntervalMilliseconds);
     result = make();
   }
   return result;
--- a/tests/main_test.cpp
+++ b/tests/main_test.cpp
@@ -1,4 +1,4 @@
-// The program from its first instruction on: what may happen to it before its event loop runs.
+// Signals that the program receives during startup, before its event loop runs.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -15,8 +15,8 @@
 namespace cherryrail::testing {
 namespace {
 
-// The program, reading its configuration from a pipe: who opens that for writing waits until the program
-// reads.
+// Runs the program with a FIFO as its configuration file. Opening the FIFO for writing blocks until the
+// program reads from it.
 class Program {
  public:
   Program() : config_path_(folder_.file("config")) {
@@ -35,13 +35,13 @@
     waitpid(process_, nullptr, 0);
   }
 
-  // Returns once the program has begun to read.
+  // Blocks until the program has started to read its configuration.
   net::FileDescriptor open_config() const {
     return net::FileDescriptor(open(config_path_.c_str(), O_WRONLY | O_CLOEXEC));
   }
   void signal(int number) const { kill(process_, number); }
-  // As waitpid gives it.
-  int wait_for_end() {
+  // Returns the status of waitpid.
+  int wait_for_exit() {
     int status = -1;
     waitpid(process_, &status, 0);
     process_ = 0;
@@ -54,46 +54,46 @@
   pid_t process_ = 0;
 };
 
-void write_config(net::FileDescriptor file, const LoopbackRelay& surroundings) {
-  const std::string text = surroundings.config_text(100);
+void write_config(net::FileDescriptor file, const LoopbackRelay& environment) {
+  const std::string text = environment.config_text(100);
   EXPECT_EQ(write(file.get(), text.data(), text.size()), static_cast<ssize_t>(text.size()));
 }
 
-// Until it listens; by then it has read the configuration to its end.
-bool wait_until_listening(const LoopbackRelay& surroundings) {
+// Waits until the program listens, which it does only after reading the whole configuration.
+bool wait_until_listening(const LoopbackRelay& environment) {
   for (int attempt = 0; attempt < 2000; ++attempt) {
-    TestSocket connection = TestSocket::connected_to(surroundings.port);
+    TestSocket connection = TestSocket::connected_to(environment.port);
     if (!connection.is_ended_by_peer()) return true;
     poll(nullptr, 0, 2);
   }
   return false;
 }
 
-TEST(Main, SignalsThatComeWhileItStartsAreHeardOnceItRuns) {
-  const LoopbackRelay surroundings(1, 500, "", false);
+TEST(Main, HandlesSignalsReceivedDuringStartup) {
+  const LoopbackRelay environment(1, 500, "", false);
   Program program;
 
   net::FileDescriptor config = program.open_config();
   program.signal(SIGHUP);
-  write_config(std::move(config), surroundings);
-  ASSERT_TRUE(wait_until_listening(surroundings));
-  write_config(program.open_config(), surroundings);  // read for the signal
+  write_config(std::move(config), environment);
+  ASSERT_TRUE(wait_until_listening(environment));
+  write_config(program.open_config(), environment);  // read by the reload that SIGHUP requests
   program.signal(SIGTERM);
 
-  const int status = program.wait_for_end();
+  const int status = program.wait_for_exit();
   EXPECT_TRUE(WIFEXITED(status)) << "signal " << WTERMSIG(status);
   EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
-TEST(Main, AStopThatComesWhileItStartsIsAnOrderlyOne) {
-  const LoopbackRelay surroundings(1, 500, "", false);
+TEST(Main, ExitsCleanlyWhenTerminatedDuringStartup) {
+  const LoopbackRelay environment(1, 500, "", false);
   Program program;
 
   net::FileDescriptor config = program.open_config();
   program.signal(SIGTERM);
-  write_config(std::move(config), surroundings);
+  write_config(std::move(config), environment);
 
-  const int status = program.wait_for_end();
+  const int status = program.wait_for_exit();
   EXPECT_TRUE(WIFEXITED(status)) << "signal " << WTERMSIG(status);
   EXPECT_EQ(WEXITSTATUS(status), 0);
 }
--- a/tests/net/event_loop_test.cpp
+++ b/tests/net/event_loop_test.cpp
@@ -13,8 +13,8 @@
 namespace cherryrail::testing {
 namespace {
 
-// A second thread that is stopped while it holds a lock would stop the relay for good.
-TEST(EventLoop, HandlesSignalsOnTheRelaysOnlyThread) {
+// With a second thread, a process that is stopped while that thread holds a lock would hang forever.
+TEST(EventLoop, HandlesSignalsWithoutASecondThread) {
   LoopbackRelay relay(1);
   int terminations = 0;
   int reloads = 0;
@@ -29,7 +29,7 @@
   EXPECT_EQ(std::distance(begin(threads), end(threads)), 1);
 }
 
-TEST(EventLoop, WatchesASocketThoughTheSystemRefusesAtFirst) {
+TEST(EventLoop, RetriesWatchingASocketAfterEpollCtlFails) {
   for (const int error : {ENOMEM, ENOSPC}) {
     const FaultPlanScope scope;
     LoopbackRelay relay(1);
--- a/tests/net/listener_test.cpp
+++ b/tests/net/listener_test.cpp
@@ -1,4 +1,4 @@
-// Accepting connections while that fails.
+// Accepting connections when system calls fail.
 #include "net/listener.hpp"
 
 #include <gtest/gtest.h>
@@ -13,8 +13,8 @@
 namespace cherryrail::testing {
 namespace {
 
-// A connection that was reset while it waited is no reason to leave those behind it.
-TEST(Listener, OneAbortedConnectionKeepsNobodyElseOut) {
+// A connection that was reset in the accept queue must not keep the ones behind it from being accepted.
+TEST(Listener, AcceptsOtherConnectionsAfterAnAbortedOne) {
   const FaultPlanScope scope;
   net::EventLoop event_loop;
   const int port = TestSocket::listening().port();
@@ -33,8 +33,8 @@
   EXPECT_EQ(accepted, 3);
 }
 
-// At a start, the system may be short of descriptors for a moment.
-TEST(Listener, ASocketThatCannotBeMadeAtOnceIsMadeSoonAfter) {
+// The system may briefly lack descriptors when the relay starts.
+TEST(Listener, RetriesCreatingItsSocketDuringAResourceShortage) {
   for (const int error : {ENFILE, ENOBUFS}) {
     const FaultPlanScope scope;
     const int port = TestSocket::listening().port();
--- a/tests/net/log_test.cpp
+++ b/tests/net/log_test.cpp
@@ -1,4 +1,4 @@
-// The log where nobody takes it: what it is for must not be harmed by it.
+// The log when standard error accepts no lines: logging must not throw, block or disturb the relay.
 #include "net/log.hpp"
 
 #include <fcntl.h>
@@ -14,15 +14,15 @@
 namespace cherryrail::testing {
 namespace {
 
-TEST(Log, AFullDiskUnderItThrowsNothing) {
+TEST(Log, DoesNotThrowOnAFullDisk) {
   net::Log log;
   const RedirectedStderr full(open("/dev/full", O_WRONLY));
 
   EXPECT_NO_THROW(log.write(net::Topic::error, "nobody can read this"));
 }
 
-// A pipe whose reader has stopped: a write would wait for it, and the relay with it.
-TEST(Log, AFullPipeUnderItHoldsNothingUpAndTheNextLineTellsWhatIsMissing) {
+// A blocking write to a pipe whose reader has stopped would block the relay.
+TEST(Log, DoesNotBlockOnAFullPipeAndReportsOmittedLines) {
   std::array<int, 2> ends{};
   ASSERT_EQ(pipe(ends.data()), 0);
   net::Log log;
@@ -46,7 +46,7 @@
   EXPECT_NE(received.find("the reader is back " + note), std::string::npos) << received.substr(0, 200);
 }
 
-TEST(Log, ClientsAreServedWhileItCannotBeWritten) {
+TEST(Log, RelayServesClientsWhileTheLogCannotBeWritten) {
   const RedirectedStderr full(open("/dev/full", O_WRONLY));
   LoopbackRelay relay(1);
 
