--- a/tests/soak/backends.py
+++ b/tests/soak/backends.py
@@ -1,4 +1,4 @@
-"""Stand-ins for backends, each behind a fault proxy."""
+"""Simulated backends, each behind a fault proxy."""
 import asyncio
 import math
 
@@ -7,7 +7,11 @@
 
 
 class Backend:
-    """One backend. Its manner says how it answers open requests: ok, busy, error, hang, garbage or reset."""
+    """A simulated backend.
+
+    `behavior` says how it answers open requests: ok, busy, error, hang, garbage, reset, or flaky (a random one of
+    these for each request).
+    """
 
     def __init__(self, world, index, rng):
         self._world = world
@@ -16,7 +20,7 @@
         self.zone = "ab"[index % 2]
         self.state = "active"
         self.boot_ms = 0
-        self.manner = "ok"
+        self.behavior = "ok"
         self.is_running = False
         self.port = 0
         self.proxy = FaultProxy(world, self, rng)
@@ -32,7 +36,7 @@
             self.proxy.start()
 
     async def crash(self):
-        """Dies: its connections are reset, and new ones refused by the proxy."""
+        """Crashes: its connections are reset, and the proxy resets new ones."""
         self.is_running = False
         self._crashed_at = self._world.now()
         self._server.close()
@@ -40,19 +44,19 @@
             abort(writer)
         self.proxy.break_connections()
 
-    def started_again_since(self, time):
-        """Whether it has crashed after that time."""
+    def crashed_since(self, time):
+        """Whether it has crashed at or after `time`."""
         return self._crashed_at >= time
 
     async def start_cold(self):
-        """Starts again, with all to do that a fresh process has."""
+        """Starts again as a new process that has to warm up."""
         self.boot_ms = int(self._world.unix_now() * 1000)
-        self.manner = "ok"
+        self.behavior = "ok"
         self._world.oracle.backend_started(self.uid)
         await self.start()
 
     def entry(self):
-        """As an endpoint list names it."""
+        """Its entry in an endpoint list."""
         return {"uid": self.uid, "endpoint": f"127.0.0.1:{self.proxy.port}", "az": self.zone, "model": "m",
                 "pod_group": 0, "state": self.state, "capacity_hint": 1.0, "boot_ms": self.boot_ms}
 
@@ -80,20 +84,20 @@
         link = self._world.links.get(writer.get_extra_info("peername")[1], Link())
         attempt = Attempt(self.uid, min(link.first_byte_at, now), now, link)
         self._world.oracle.attempt_arrived(line.split(" ")[1], attempt)
-        manner = self.manner
-        if manner == "flaky":
-            manner = self._rng.choice(["ok", "busy", "error", "hang", "garbage", "reset"])
-        if manner == "hang":
+        behavior = self.behavior
+        if behavior == "flaky":
+            behavior = self._rng.choice(["ok", "busy", "error", "hang", "garbage", "reset"])
+        if behavior == "hang":
             await reader.read()
             return
-        if manner == "reset":
+        if behavior == "reset":
             attempt.result = "reset"
             return
         answers = {"busy": "BUSY", "error": "ERR", "garbage": "WHAT IS THIS"}
-        if manner in answers:
-            attempt.result = answers[manner]
-            writer.write(answers[manner].encode() + b"\r\n")
-            if manner == "garbage":
+        if behavior in answers:
+            attempt.result = answers[behavior]
+            writer.write(answers[behavior].encode() + b"\r\n")
+            if behavior == "garbage":
                 writer.write(b"x" * 9000)
             await writer.drain()
             writer.write_eof()
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,16 +1,16 @@
-"""A stand-in for discovery, which all relays ask."""
+"""A simulated discovery service, which all relays watch."""
 import asyncio
 import json
 
 from fault_proxy import abort
-from oracle import UNREPORTED_CHANGE
+from oracle import NOTIFICATION_LIMIT_S
 
 
 class Watch:
-    """One relay's open watch."""
+    """The open watch of a relay process."""
 
-    def __init__(self, relay, writer):
-        self.relay = relay
+    def __init__(self, process, writer):
+        self.process = process
         self.writer = writer
         self.is_silent = False
 
@@ -20,7 +20,7 @@
 
 
 class Discovery:
-    """The endpoint list for all relays. Each relay has an address of its own here, and a second one to move to."""
+    """Serves the endpoint list to all relays. Each relay has two addresses here, and can switch between them."""
 
     def __init__(self, world, rng):
         self._world = world
@@ -29,56 +29,56 @@
         self.is_up = True
         self.reachable_since = 0.0
         self.delay = 0.0
-        self._log = []  # (revision, entry)
+        self._changes = []  # (revision, entry)
         self._watches = set()
         self._servers = []
 
-    async def listen(self, get_relay):
-        """A port at which one relay asks; `get_relay` gives the process that it has now."""
-        server = await asyncio.start_server(lambda reader, writer: self._serve(get_relay, reader, writer),
+    async def listen(self, get_process):
+        """Listens for one relay and returns the port; `get_process` returns the relay's current process."""
+        server = await asyncio.start_server(lambda reader, writer: self._serve(get_process, reader, writer),
                                             "127.0.0.1", 0)
         self._servers.append(server)
         return server.sockets[0].getsockname()[1]
 
     def publish(self, backend):
-        """Tells all watches what has become of a backend."""
+        """Sends a backend's changed entry to all watches."""
         self.revision += 1
         entry = backend.entry()
-        self._log.append((self.revision, entry))
+        self._changes.append((self.revision, entry))
         text = json.dumps({"rev": self.revision, "all": False, "targets": [entry]})
         now = self._world.now()
         for watch in list(self._watches):
             if not watch.is_silent and self.is_up:
                 watch.send(text)
-                self._note_told(watch, backend.uid, backend.state, now)
-        self._count_as_told(backend.uid, backend.state)
+                self._record_notification(watch, backend.uid, backend.state, now)
+        self._schedule_assumed_notifications(backend.uid, backend.state)
 
-    def _note_told(self, watch, uid, state, at):
-        # At a hot restart both processes ask here, and which of them has asked is not known.
-        if watch.relay is not None:
-            self._world.oracle.change_told(watch.relay, uid, state, at)
+    def _record_notification(self, watch, uid, state, at):
+        # During a hot restart both processes watch this port, and which of them opened the watch is unknown.
+        if watch.process is not None:
+            self._world.oracle.state_change_notified(watch.process, uid, state, at)
 
-    def _count_as_told(self, uid, state):
+    def _schedule_assumed_notifications(self, uid, state):
         if state == "active":
             return
-        for relay in self._world.running_relays():
-            self.settle(relay, uid, state)
+        for process in self._world.running_processes():
+            self.assume_notified_later(process, uid, state)
 
-    def settle(self, relay, uid, state):
-        """Counts the change as told six seconds on, or later where discovery was down meanwhile."""
+    def assume_notified_later(self, process, uid, state):
+        """Assumes the process notified of a change after six seconds, or later if discovery was down meanwhile."""
         started = self._world.now()
 
         def check():
             known_since = max(started, self.reachable_since)
-            left = known_since + UNREPORTED_CHANGE - self._world.now()
-            if not self.is_up or left > 0.01:
-                self._world.call_later(max(left, 0.2), check)
+            remaining = known_since + NOTIFICATION_LIMIT_S - self._world.now()
+            if not self.is_up or remaining > 0.01:
+                self._world.call_later(max(remaining, 0.2), check)
                 return
-            latest = [entry for number, entry in self._log if entry["uid"] == uid][-1]
+            latest = [entry for number, entry in self._changes if entry["uid"] == uid][-1]
             if latest["state"] == state:
-                self._world.oracle.change_told(relay, uid, state, self._world.now())
+                self._world.oracle.state_change_notified(process, uid, state, self._world.now())
 
-        self._world.call_later(UNREPORTED_CHANGE, check)
+        self._world.call_later(NOTIFICATION_LIMIT_S, check)
 
     def go_down(self):
         self.is_up = False
@@ -94,24 +94,24 @@
         for watch in self._watches:
             watch.is_silent = True
 
-    async def _serve(self, get_relay, reader, writer):
+    async def _serve(self, get_process, reader, writer):
         try:
             request = (await reader.readuntil(b"\r\n\r\n")).decode()
             if self.delay:
                 await asyncio.sleep(self._rng.uniform(0, self.delay))
             if not self.is_up:
                 return
-            await self._watch(get_relay(), request, reader, writer)
+            await self._watch(get_process(), request, reader, writer)
         except (OSError, asyncio.IncompleteReadError):
             pass
         finally:
             abort(writer)
 
-    async def _watch(self, relay, request, reader, writer):
+    async def _watch(self, process, request, reader, writer):
         after = int(request.split("after=")[1].split(" ")[0])
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        watch = Watch(relay, writer)
-        self._send_first(watch, after)
+        watch = Watch(process, writer)
+        self._send_initial_list(watch, after)
         self._watches.add(watch)
         ended = asyncio.create_task(reader.read())
         try:
@@ -126,16 +126,16 @@
             ended.cancel()
             self._watches.discard(watch)
 
-    def _send_first(self, watch, after):
+    def _send_initial_list(self, watch, after):
         is_complete = after <= 1 or self._rng.random() < 0.3
         entries = {backend.uid: backend.entry() for backend in self._world.backends if backend.state != "left"}
         if not is_complete:
-            entries = {entry["uid"]: entry for number, entry in self._log if number > after}
+            entries = {entry["uid"]: entry for number, entry in self._changes if number > after}
         watch.send(json.dumps({"rev": self.revision, "all": is_complete, "targets": list(entries.values())}))
         now = self._world.now()
         for uid, entry in entries.items():
-            self._note_told(watch, uid, entry["state"], now)
+            self._record_notification(watch, uid, entry["state"], now)
         if is_complete:
             for backend in self._world.backends:
                 if backend.state == "left":
-                    self._note_told(watch, backend.uid, "left", now)
+                    self._record_notification(watch, backend.uid, "left", now)
--- a/tests/soak/fault_plan.py
+++ b/tests/soak/fault_plan.py
@@ -1,16 +1,17 @@
-"""The soak's side of the fault shim: a mapped file whose form tests/support/fault_plan.hpp states."""
+"""Controls the fault shim through a mapped file, whose layout is defined in tests/support/fault_plan.hpp."""
 import errno
 import mmap
 import struct
 
 CALL_SIZE = 12
-CALL_OFFSETS = {name: 8 + CALL_SIZE * place
-                for place, name in enumerate(["accept", "socket", "connect", "storage", "wait", "receive", "hand_over", "send", "watch"])}
+CALL_OFFSETS = {name: 8 + CALL_SIZE * index
+                for index, name in enumerate(["accept", "socket", "connect", "storage", "wait", "receive",
+                                              "hand_over", "send", "watch"])}
 SHORT_IO_OFFSET = 116
 HOLD_UP_OFFSET = 120
 PLAN_SIZE = 128
 
-# What each kind of call may fail with, as its manual page has it.
+# Errors that each kind of call may return according to its manual page.
 POSSIBLE_ERRORS = {
     "accept": [errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EMFILE, errno.EINTR],
     "socket": [errno.ENFILE, errno.ENOBUFS, errno.EMFILE],
@@ -25,7 +26,7 @@
 
 
 class FaultPlan:
-    """What one relay's system calls do from now on."""
+    """The faults injected into the system calls of one relay's processes, effective at once."""
 
     def __init__(self, path):
         path.write_bytes(bytes(PLAN_SIZE))
@@ -34,21 +35,21 @@
         self.path = path
 
     def offset_wall_clock(self, seconds):
-        """Adds so much to the wall clock that the relay reads."""
+        """Sets the offset that is added to the wall clock that the relay reads."""
         struct.pack_into("q", self._memory, 0, int(seconds * 1_000_000))
 
     def fail(self, call, error, per_mille, count=0):
-        """Lets so many of a thousand calls of a kind fail, and the next `count` in any case."""
+        """Makes the next `count` calls of a kind fail, and `per_mille` of a thousand of the later ones."""
         struct.pack_into("iii", self._memory, CALL_OFFSETS[call], error, count, per_mille)
 
     def stop_failing(self, call):
-        """The kind of call is sound again."""
+        """Ends the injected failures of a kind of call."""
         self.fail(call, 0, 0)
 
-    def cut_transfers(self, per_mille):
-        """So many of a thousand reads and writes on TCP take a part only."""
+    def shorten_transfers(self, per_mille):
+        """Makes `per_mille` of a thousand TCP reads and writes transfer only a part."""
         struct.pack_into("i", self._memory, SHORT_IO_OFFSET, per_mille)
 
-    def hold_up(self, milliseconds):
-        """The process's next wait takes so much longer."""
+    def delay_next_wait(self, milliseconds):
+        """Prolongs the process's next wait for events, once."""
         struct.pack_into("i", self._memory, HOLD_UP_OFFSET, milliseconds)
--- a/tests/soak/fault_proxy.py
+++ b/tests/soak/fault_proxy.py
@@ -1,4 +1,4 @@
-"""What stands between a relay and a backend, and may hold, cut or break what passes."""
+"""A proxy between the relays and a backend that can delay, fragment or reset connections."""
 import asyncio
 import math
 import socket
@@ -17,17 +17,17 @@
 
 
 def abort(writer):
-    """Ends a connection with a reset."""
+    """Resets a connection."""
     if writer.transport is not None:
         writer.transport.abort()
 
 
 class FaultProxy:
-    """Stands before one backend and passes bytes on, or does what its mode says.
+    """Forwards connections to one backend, with the faults of its mode.
 
-    Modes: ok; silent (connections stay open and nothing passes; they are reset at its end), late (passes nothing
-    for a while after connecting), pieces (writes small pieces), reset (connections break at random). Beside these, it
-    may let new connections come up late.
+    Modes: ok; stalled (connections stay open without forwarding, and are reset when the mode ends); delayed (a new
+    connection forwards nothing for a while); fragmented (writes a few bytes at a time); reset (connections are reset
+    at random). In any mode it may also delay the establishment of new connections.
     """
 
     def __init__(self, world, backend, rng):
@@ -36,8 +36,8 @@
         self._rng = rng
         self.mode = "ok"
         self._listener = socket.socket()
-        self._is_holding = False
-        self._held_since = self._held_until = -math.inf
+        self._is_accept_paused = False
+        self._paused_since = self._paused_until = -math.inf
         self._writers = set()
         self.port = 0
         self._broken_at = -math.inf
@@ -52,38 +52,38 @@
     async def _accept_all(self):
         loop = asyncio.get_running_loop()
         while True:
-            while self._is_holding:
+            while self._is_accept_paused:
                 await asyncio.sleep(0.01)
             connection, _ = await loop.sock_accept(self._listener)
             reader, writer = await asyncio.open_connection(sock=connection)
-            # What has waited in the queue may have been written when the wait began.
-            has_waited = self._is_holding or self._world.now() < self._held_until + 0.1
-            self._world.spawn(self._accept(reader, writer, self._held_since if has_waited else math.inf))
-
-    async def hold_connections(self, seconds):
-        """With its queue full the system drops what asks to connect, which asks again a second later."""
-        self._is_holding = True
-        self._held_since = self._world.now()
+            # A connection that waited in the accept queue may have sent its first bytes when the pause began.
+            has_waited = self._is_accept_paused or self._world.now() < self._paused_until + 0.1
+            self._world.spawn(self._accept(reader, writer, self._paused_since if has_waited else math.inf))
+
+    async def pause_accepting(self, seconds):
+        """Fills the accept queue, so that the system drops SYNs; clients retransmit them a second later."""
+        self._is_accept_paused = True
+        self._paused_since = self._world.now()
         self._listener.listen(0)
-        fillers = [socket.socket() for _ in range(3)]
-        for filler in fillers:
-            filler.setblocking(False)
-            filler.connect_ex(("127.0.0.1", self.port))
+        queue_fillers = [socket.socket() for _ in range(3)]
+        for queue_filler in queue_fillers:
+            queue_filler.setblocking(False)
+            queue_filler.connect_ex(("127.0.0.1", self.port))
         await asyncio.sleep(seconds)
-        self._held_until = self._world.now()
+        self._paused_until = self._world.now()
         self._listener.listen(BACKLOG)
-        self._is_holding = False
-        for filler in fillers:
-            filler.close()
+        self._is_accept_paused = False
+        for queue_filler in queue_fillers:
+            queue_filler.close()
 
     def was_broken_since(self, time):
-        """Whether its connections were broken after that time."""
-        return self._broken_at >= time or self.mode == "silent"
+        """Whether its connections were reset at or after `time`, or are stalled now."""
+        return self._broken_at >= time or self.mode == "stalled"
 
     def set_mode(self, mode):
-        was_silent = self.mode == "silent"
+        was_stalled = self.mode == "stalled"
         self.mode = mode
-        if was_silent and mode != "silent":
+        if was_stalled and mode != "stalled":
             self.break_connections()
 
     def break_connections(self):
@@ -91,23 +91,23 @@
         for writer in list(self._writers):
             abort(writer)
 
-    async def _accept(self, reader, writer, written_before):
+    async def _accept(self, reader, writer, earliest_write_at):
         link = Link()
         self._writers.add(writer)
         try:
-            await self._relay(link, reader, writer, written_before)
+            await self._relay(link, reader, writer, earliest_write_at)
         except (OSError, asyncio.IncompleteReadError):
             pass
         finally:
             self._writers.discard(writer)
             abort(writer)
 
-    async def _relay(self, link, reader, writer, written_before):
-        first_bytes = await reader.read(READ_SIZE)  # relays speak first
+    async def _relay(self, link, reader, writer, earliest_write_at):
+        first_bytes = await reader.read(READ_SIZE)  # relays send first
         if not first_bytes:
             return
-        link.first_byte_at = min(self._world.now(), written_before)
-        if self.mode == "late":
+        link.first_byte_at = min(self._world.now(), earliest_write_at)
+        if self.mode == "delayed":
             await asyncio.sleep(self._rng.uniform(0.02, 1.2))
         if not self._backend.is_running:
             return
@@ -137,7 +137,7 @@
     async def _copy(self, reader, writer, link):
         try:
             while data := await reader.read(READ_SIZE):
-                while self.mode == "silent":
+                while self.mode == "stalled":
                     await asyncio.sleep(0.02)
                 await self._write(writer, data)
             if link:
@@ -149,7 +149,7 @@
             abort(writer)
 
     async def _write(self, writer, data):
-        if self.mode != "pieces":
+        if self.mode != "fragmented":
             writer.write(data)
             await writer.drain()
             return
--- a/tests/soak/oracle_test.py
+++ b/tests/soak/oracle_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""The soak's oracle finds each broken rule, and nothing in a session that is in order."""
+"""Tests that the soak's oracle reports each broken rule, and nothing for sessions that keep the rules."""
 import unittest
 
 from fault_proxy import Link
@@ -10,7 +10,7 @@
 
 
 class Process:
-    """A relay's process as the oracle sees it."""
+    """The part of a relay process that the oracle uses."""
 
     def __init__(self):
         self.killed = False
@@ -18,7 +18,7 @@
     def was_killed(self):
         return self.killed
 
-    def possible_servers(self):
+    def possible_processes(self):
         return [self]
 
 
@@ -41,53 +41,53 @@
     def rules_broken(self):
         return [line.split(" ", 1)[1].split(":")[0] for line in self.oracle.violations]
 
-    def test_a_session_in_order_breaks_nothing(self):
+    def test_accepts_a_session_retried_after_a_rejection(self):
         request = self.request("once")
         self.attempt().result = "BUSY"
         self.attempt(backend="s-1").result = "UP"
-        self.oracle.answered(request, "UP r")
+        self.oracle.answer_received(request, "UP r")
         self.assertEqual(self.rules_broken(), [])
 
-    def test_a_backend_that_is_told_to_have_returned_after_its_end(self):
-        self.oracle.change_told(self.process, "s-0", "left", self.time)
-        self.oracle.change_told(self.process, "s-0", "active", self.time + 1)
+    def test_accepts_an_attempt_after_the_backend_is_active_again(self):
+        self.oracle.state_change_notified(self.process, "s-0", "left", self.time)
+        self.oracle.state_change_notified(self.process, "s-0", "active", self.time + 1)
         self.time += 3
         self.request()
         self.attempt()
         self.assertEqual(self.rules_broken(), [])
 
-    def test_a_restored_session_elsewhere(self):
+    def test_reports_a_restored_session_at_another_backend(self):
         self.request().previous_backend = "s-0"
         self.attempt(result="ERR")
         self.attempt(backend="s-1")
         self.assertEqual(self.rules_broken(), ["restored at its backend"])
 
-    def test_a_late_answer_and_a_second_one(self):
+    def test_reports_an_answer_after_the_timeout_and_a_second_answer(self):
         request = self.request()
         self.time += 2
-        self.oracle.answered(request, "BUSY")
-        self.oracle.answered(request, "ERR")
+        self.oracle.answer_received(request, "BUSY")
+        self.oracle.answer_received(request, "ERR")
         self.assertEqual(self.rules_broken(), ["answer in time", "one final answer", "answer in time"])
 
-    def test_no_answer_unless_the_process_was_killed(self):
-        self.oracle.not_answered(self.request(), "closed")
+    def test_reports_a_missing_answer_unless_the_process_was_killed(self):
+        self.oracle.answer_missing(self.request(), "closed")
         self.process.killed = True
-        self.oracle.not_answered(self.request(session="2"), "closed")
+        self.oracle.answer_missing(self.request(session="2"), "closed")
         self.assertEqual(self.rules_broken(), ["final answer"])
 
-    def test_a_repeat_of_what_must_not_run_twice(self):
+    def test_reports_a_retry_of_an_at_most_once_request_that_may_have_run(self):
         self.request("once")
         self.attempt().result = "ERR"
         self.attempt(backend="s-1")
         self.assertEqual(self.rules_broken(), ["no effect twice"])
 
-    def test_an_invitation_to_repeat_what_may_have_run(self):
+    def test_reports_busy_for_an_at_most_once_request_that_may_have_run(self):
         request = self.request("once")
         self.attempt().result = "reset"
-        self.oracle.answered(request, "BUSY")
+        self.oracle.answer_received(request, "BUSY")
         self.assertEqual(self.rules_broken(), ["no effect twice"])
 
-    def test_a_repeat_after_the_window_in_which_it_is_recognised(self):
+    def test_reports_a_retry_after_the_deduplication_window(self):
         self.request("keyed")
         self.attempt().result = "ERR"
         self.time += 1.4
@@ -96,13 +96,13 @@
         self.attempt(backend="s-2").result = "UP"
         self.assertEqual(self.rules_broken(), ["no effect twice"])
 
-    def test_two_attempts_at_once(self):
+    def test_reports_two_concurrent_attempts(self):
         self.request()
         self.attempt()
         self.attempt(backend="s-1").result = "UP"
         self.assertEqual(self.rules_broken(), ["one attempt at a time"])
 
-    def test_an_attempt_after_its_client_has_gone(self):
+    def test_reports_an_attempt_after_the_client_has_left(self):
         request = self.request()
         request.client_left_at = self.time
         self.time += 0.2
@@ -111,8 +111,8 @@
         self.attempt(backend="s-1", result="UP")
         self.assertIn("no attempt without a client", self.rules_broken())
 
-    def test_an_attempt_past_the_grace_of_a_drain(self):
-        self.oracle.change_told(self.process, "s-0", "leaving", self.time)
+    def test_reports_an_attempt_after_the_drain_grace(self):
+        self.oracle.state_change_notified(self.process, "s-0", "leaving", self.time)
         self.time += 0.6
         self.request()
         self.attempt(result="UP")
@@ -121,16 +121,16 @@
         self.attempt("2", result="UP")
         self.assertEqual(self.rules_broken(), ["drain"])
 
-    def test_an_attempt_at_a_disabled_backend(self):
-        self.oracle.disabled[0]["s-0"] = self.time
+    def test_reports_an_attempt_at_a_disabled_backend(self):
+        self.oracle.disabled_since[0]["s-0"] = self.time
         self.time += 1.8
         self.request()
         self.attempt(result="UP")
         self.assertEqual(self.rules_broken(), ["disabled backend"])
 
-    def test_more_than_a_cold_backend_bears(self):
+    def test_reports_overload_during_slow_start(self):
         self.oracle.backend_started("s-0")
-        self.oracle.change_told(self.process, "s-0", "active", self.time)
+        self.oracle.state_change_notified(self.process, "s-0", "active", self.time)
         for number in range(40):
             self.time += 0.01
             self.request(session=str(number))
--- a/tests/soak/relays.py
+++ b/tests/soak/relays.py
@@ -1,4 +1,4 @@
-"""The relays of the soak: real processes, which are started, signalled, replaced and killed."""
+"""The relays of the soak: real processes that are started, signalled, replaced and killed."""
 import asyncio
 import contextlib
 import itertools
@@ -11,22 +11,22 @@
 
 from fault_plan import FaultPlan
 
-READY_LIMIT = 10.0
-# After SIGTERM the platform kills a process that is still there so long after the longest client timeout.
-KILL_MARGIN = 0.7
-LONGEST_WAIT = 3.0  # the platform waits no longer than that for clients
+READY_TIMEOUT_S = 10.0
+# The platform sends SIGKILL to a process that still runs this long after SIGTERM and the longest client timeout.
+KILL_MARGIN_S = 0.7
+MAX_TERMINATION_WAIT_S = 3.0  # limit of the client timeout that the platform waits for
 MEMORY_LIMIT_KB = 96 * 1024
-FAULT_MARKS = ("a callback failed", "invariant violated")
+FAULT_LOG_MARKERS = ("a callback failed", "invariant violated")
 
 process_numbers = itertools.count()
 
 
 def reserve_port():
-    """A socket that holds a free port of loopback. A relay may listen there, but nobody else is given the port."""
-    holder = socket.socket()
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.bind(("127.0.0.1", 0))
-    return holder
+    """Returns a socket that reserves a free loopback port, on which only a relay will then listen."""
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.bind(("127.0.0.1", 0))
+    return reservation
 
 
 class Process:
@@ -39,7 +39,7 @@
         self.number = next(process_numbers)
         self.ready_at = None
         self._killed = False
-        self.is_ending = False
+        self.is_stopping = False
 
     def __repr__(self):
         return f"relay {self.relay.index} (process {self.number}, {self.log_path.name})"
@@ -47,14 +47,14 @@
     def is_running(self):
         return self.popen.poll() is None
 
-    def possible_servers(self):
-        """Those that may serve what this process was asked: at a hot restart, another may have taken it."""
+    def possible_processes(self):
+        """The processes that may serve this one's requests; a hot restart may have handed its connections over."""
         if not self.relay.has_inherited_listener:
             return [self]
         return [process for process in self.relay.processes if process.is_running()] or [self]
 
     def was_killed(self):
-        """Whether it died by a SIGKILL of the soak: what it had then is owed to nobody."""
+        """Whether the soak killed it with SIGKILL; the requests that it held then need no answer."""
         return self._killed
 
     def signal(self, number):
@@ -64,26 +64,26 @@
     def kill(self):
         if self.is_running():
             self._killed = True
-            self.is_ending = True
+            self.is_stopping = True
             self.popen.kill()
 
 
 class Relay:
-    """One relay: its place, its configuration and its processes, of which there may be two at a hot restart."""
+    """One relay: its ports, its configuration and its processes (two of them during a hot restart)."""
 
     def __init__(self, world, index, options, settings, longest_timeout):
         self.world = world
         self.index = index
         self.has_inherited_listener = index < 2
-        self.has_no_log = index == 2
+        self.logs_to_full_device = index == 2
         self.folder = options.folder / f"relay-{index}"
         self.folder.mkdir()
         self.state_folder = self.folder / "state"
         self.state_folder.mkdir()
         self.plan = FaultPlan(self.folder / "fault-plan")
         self.processes = []
-        self.takes_clients = False
-        self.is_busy = False  # a trouble that stops or starts its processes is under way
+        self.receives_clients = False
+        self.is_busy = False  # a fault that stops or starts its processes is being injected
         self.descriptor_limit = 220
         self._options = options
         self._settings = settings
@@ -97,26 +97,26 @@
 
     async def prepare(self):
         for _ in range(2):
-            self._discovery_ports.append(await self.world.discovery.listen(self._only_process))
+            self._discovery_ports.append(await self.world.discovery.listen(self._sole_running_process))
         self._listener = reserve_port()
         self.port = self._listener.getsockname()[1]
         if self.has_inherited_listener:
             self._listener.listen(4096)
         self.write_config()
 
-    def _only_process(self):
-        """The process that runs, unless there are two."""
+    def _sole_running_process(self):
+        """The running process, or None if none or two are running."""
         running = [process for process in self.processes if process.is_running()]
         return running[0] if len(running) == 1 else None
 
-    def newest(self):
+    def newest_process(self):
         return self.processes[-1]
 
     @property
     def config_path(self):
         return self.folder / "config.json"
 
-    def write_config(self, is_half=False):
+    def write_config(self, is_truncated=False):
         text = json.dumps({
             "name": f"n{self.index}", "listen": f"127.0.0.1:{self.port}", "seed": f"{self.index:x}7",
             "discovery": f"127.0.0.1:{self._discovery_ports[self._current_discovery]}",
@@ -124,18 +124,18 @@
             "known": {"rev": 1, "all": True, "targets": [b.entry() for b in self.world.backends if b.state != "left"]},
             "settings": dict(self._settings, me=self.index)})
         new_path = self.folder / "config.new"
-        new_path.write_text(text[:len(text) // 2] if is_half else text)
+        new_path.write_text(text[:len(text) // 2] if is_truncated else text)
         new_path.rename(self.config_path)
 
     def move_discovery(self):
-        """Writes a configuration with the other discovery address, without telling the process."""
+        """Writes a configuration with the other discovery address, without signalling the process."""
         self._current_discovery = 1 - self._current_discovery
         self.write_config()
 
     # ---- Processes ----------------------------------------------------------------------------------------
 
     def start(self):
-        """Starts a process; it is not ready yet."""
+        """Starts a process, which becomes ready later."""
         number = len(self.processes)
         log_path = self.folder / f"log-{number}"
         self._mgmt_ports.append(reserve_port())
@@ -146,35 +146,36 @@
         if self.has_inherited_listener:
             environment["EDGE_SOCKET_FD"] = str(self._listener.fileno())
             inherited = [self._listener.fileno()]
-        log = open("/dev/full" if self.has_no_log else log_path, "wb", buffering=0)
+        log = open("/dev/full" if self.logs_to_full_device else log_path, "wb", buffering=0)
         popen = subprocess.Popen([self._options.relay, "serve", "--config", self.config_path], stderr=log,
                                  stdout=log, stdin=subprocess.DEVNULL, env=environment, pass_fds=inherited)
         log.close()
         process = Process(self, popen, log_path)
         self.processes.append(process)
         self.world.spawn(self._wait_until_ready(process))
-        self.world.spawn(self._watch(process))
+        self.world.spawn(self._monitor(process))
         for backend in self.world.backends:
             if backend.state != "active":
-                self.world.discovery.settle(process, backend.uid, backend.state)
+                self.world.discovery.assume_notified_later(process, backend.uid, backend.state)
         return process
 
     async def _wait_until_ready(self, process):
         began = self.world.now()
-        while process.is_running() and not process.is_ending:
+        while process.is_running() and not process.is_stopping:
             if await self._is_ready(process):
                 process.ready_at = self.world.now()
-                self.takes_clients = True
+                self.receives_clients = True
                 self.world.oracle.counts["starts"] += 1
                 return
-            if self.world.now() - began > READY_LIMIT + self.world.lateness:
-                self.world.oracle.violate("ready in time", f"{process} is not ready after {READY_LIMIT} s")
+            if self.world.now() - began > READY_TIMEOUT_S + self.world.event_loop_lag:
+                self.world.oracle.report_violation("ready in time",
+                                                   f"{process} is not ready after {READY_TIMEOUT_S} s")
                 return
             await asyncio.sleep(0.03)
 
     async def _is_ready(self, process):
         if self.has_inherited_listener:
-            return await self.call("GET", "/ready") == 200 and process is self.newest()
+            return await self.management_call("GET", "/ready") == 200 and process is self.newest_process()
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
             writer.write(b"PING\r\n")
@@ -184,73 +185,76 @@
         except (OSError, asyncio.TimeoutError):
             return False
 
-    async def _watch(self, process):
-        """Sees to it that the process neither ends by itself nor goes over its limits."""
+    async def _monitor(self, process):
+        """Reports a process that ends by itself, ends with an error, or exceeds its limits."""
         while process.is_running():
             await asyncio.sleep(0.25)
             self._check_limits(process)
-        if not process.is_ending:
-            self.takes_clients = False
-            self.world.oracle.process_ended(process, f"ended by itself with {process.popen.returncode}")
+        if not process.is_stopping:
+            self.receives_clients = False
+            self.world.oracle.process_failed(process, f"ended by itself with code {process.popen.returncode}")
         elif not process.was_killed() and process.popen.returncode != 0:
-            self.world.oracle.process_ended(process, f"ended with {process.popen.returncode} at its stop")
+            self.world.oracle.process_failed(process, f"was stopped and ended with code {process.popen.returncode}")
 
     def _check_limits(self, process):
-        proc = pathlib.Path("/proc", str(process.popen.pid))
+        process_info = pathlib.Path("/proc", str(process.popen.pid))
         try:
-            descriptors = len(list((proc / "fd").iterdir()))
-            memory_kb = int((proc / "status").read_text().split("VmRSS:")[1].split()[0])
+            descriptors = len(list((process_info / "fd").iterdir()))
+            memory_kb = int((process_info / "status").read_text().split("VmRSS:")[1].split()[0])
         except (OSError, IndexError):
             return
         self.world.oracle.counts["most descriptors"] = max(descriptors, self.world.oracle.counts["most descriptors"])
         if descriptors > self.descriptor_limit:
-            self.world.oracle.violate("limits", f"{process} has {descriptors} descriptors")
+            self.world.oracle.report_violation("limits", f"{process} has {descriptors} open descriptors")
         if memory_kb > MEMORY_LIMIT_KB:
-            self.world.oracle.violate("limits", f"{process} has {memory_kb} KB")
+            self.world.oracle.report_violation("limits", f"{process} uses {memory_kb} KB of memory")
 
-    async def terminate(self, process, front_delay):
-        """SIGTERM, as the platform does it: clients go on coming for `front_delay`, and use open connections until
-        SIGKILL, which comes as early as it may. What the process has then is lost.
+    async def terminate(self, process, front_end_delay):
+        """Stops a process as the platform does, with SIGTERM and a later SIGKILL.
+
+        New clients arrive for `front_end_delay` seconds more, and open connections are used until SIGKILL, which
+        comes as early as the platform allows. Requests that the process holds at SIGKILL are lost.
         """
-        limit = min(self._longest_timeout, LONGEST_WAIT) + KILL_MARGIN
+        limit = min(self._longest_timeout, MAX_TERMINATION_WAIT_S) + KILL_MARGIN_S
         if not self.has_inherited_listener:
-            self.world.clients.linger(self, process, limit)
+            self.world.clients.open_lingering_clients(self, process, limit)
             await asyncio.sleep(0.02)
-        process.is_ending = True
+        process.is_stopping = True
         process.signal(signal.SIGTERM)
         deadline = self.world.now() + limit
-        await asyncio.sleep(front_delay)
-        if process is self.newest():
-            self.takes_clients = False
-        while process.is_running() and self.world.now() < deadline + self.world.lateness:
+        await asyncio.sleep(front_end_delay)
+        if process is self.newest_process():
+            self.receives_clients = False
+        while process.is_running() and self.world.now() < deadline + self.world.event_loop_lag:
             await asyncio.sleep(0.01)
         if process.is_running():
-            self.world.oracle.violate("shutdown in time", f"{process} still runs {limit:.1f} s after SIGTERM")
+            self.world.oracle.report_violation("shutdown in time",
+                                               f"{process} is still running {limit:.1f} s after SIGTERM")
             process.popen.kill()
 
-    async def kill(self, front_delay):
-        """SIGKILL; the front notices later."""
+    async def kill(self, front_end_delay):
+        """Kills the processes with SIGKILL; the front end sends clients for `front_end_delay` seconds more."""
         for process in self.processes:
             process.kill()
-        await asyncio.sleep(front_delay)
-        self.takes_clients = False
+        await asyncio.sleep(front_end_delay)
+        self.receives_clients = False
 
     async def replace(self):
-        """A hot restart."""
-        former = self.newest()
+        """Performs a hot restart: starts a successor, and stops the predecessor once the successor is ready."""
+        predecessor = self.newest_process()
         successor = self.start()
         for _ in range(600):
             if successor.ready_at or not successor.is_running():
                 break
             await asyncio.sleep(0.01)
-        await self.terminate(former, 0)
+        await self.terminate(predecessor, 0)
 
-    async def call(self, method, path, body=""):
-        """An operator's call: its status, 0 if none came."""
+    async def management_call(self, method, path, body=""):
+        """Sends an operator's request and returns the HTTP status, or 0 if no response arrived."""
         try:
             reader, writer = await asyncio.open_connection("127.0.0.1", self.mgmt_port)
             writer.write(f"{method} {path} HTTP/1.1\r\nHost: r\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
-            head = await asyncio.wait_for(reader.readline(), 1 + self.world.lateness)
+            head = await asyncio.wait_for(reader.readline(), 1 + self.world.event_loop_lag)
             writer.transport.abort()
             return int(head.split()[1])
         except (OSError, asyncio.TimeoutError, IndexError, ValueError):
@@ -261,15 +265,15 @@
             process.kill()
         for process in self.processes:
             process.popen.wait()
-        for holder in [self._listener, *self._mgmt_ports]:
-            if holder:
-                holder.close()
+        for reservation in [self._listener, *self._mgmt_ports]:
+            if reservation:
+                reservation.close()
 
     def check_logs(self):
-        """Looks for faults that a relay noticed of itself."""
+        """Reports internal errors that the relays have logged."""
         for process in self.processes:
-            if self.has_no_log or not process.log_path.exists():
+            if self.logs_to_full_device or not process.log_path.exists():
                 continue
             for line in process.log_path.read_text(errors="replace").splitlines():
-                if any(mark in line for mark in FAULT_MARKS):
-                    self.world.oracle.violate("fault in the log", f"{process}: {line}")
+                if any(marker in line for marker in FAULT_LOG_MARKERS):
+                    self.world.oracle.report_violation("fault in the log", f"{process}: {line}")
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -1,4 +1,4 @@
-"""Everything that the relays can reach, and the time by which all of it is judged."""
+"""The environment of the relays under test: backends, discovery, clients, the clock and the random generator."""
 import asyncio
 import contextlib
 import math
@@ -8,23 +8,23 @@
 from backends import Backend
 from discovery import Discovery
 
-MEASUREMENT_INTERVAL = 0.02
-LATENESS_DECAY = 0.98  # of the measured lateness, an interval later
+LAG_MEASUREMENT_INTERVAL_S = 0.02
+LAG_DECAY = 0.98  # factor by which the measured lag decreases per interval
 
 
 class World:
-    """Everything that the relays can reach, and the time by which all of it is judged."""
+    """The environment of the relays under test, shared by all parts of the soak."""
 
     def __init__(self, seed, backend_count):
         self.rng = random.Random(seed)
         self.loop = asyncio.get_running_loop()
         self.oracle = None
         self.clients = None
-        self.links = {}
+        self.links = {}  # connections to backends, by the proxy's local port
         self.relays = []
         self.backends = [Backend(self, index, self.rng) for index in range(backend_count)]
         self.discovery = Discovery(self, self.rng)
-        self._measured_lateness = 0.0
+        self._measured_lag = 0.0
         self._next_measurement = math.inf
         self._is_over = False
         self._tasks = set()
@@ -40,27 +40,27 @@
             self.loop.call_later(delay, callback)
 
     def spawn(self, coroutine):
-        """Runs beside the rest; the reference keeps the task from being collected before its end."""
+        """Runs a task in the background; the reference protects it from garbage collection until it ends."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def running_relays(self):
-        """The processes that run now."""
+    def running_processes(self):
+        """The relay processes that are running now."""
         return [process for relay in self.relays for process in relay.processes if process.is_running()]
 
     @property
-    def lateness(self):
-        """How late the driver itself runs: what it adds to every time that it measures."""
-        return max(self._measured_lateness, self.now() - self._next_measurement)
+    def event_loop_lag(self):
+        """The delay of the driver's event loop in seconds, which every time that it measures may contain."""
+        return max(self._measured_lag, self.now() - self._next_measurement)
 
-    async def measure_lateness(self):
-        """Measures until cancelled."""
+    async def measure_event_loop_lag(self):
+        """Measures the event loop lag until cancelled."""
         while True:
-            self._next_measurement = self.now() + MEASUREMENT_INTERVAL
-            await asyncio.sleep(MEASUREMENT_INTERVAL)
-            late = self.now() - self._next_measurement
-            self._measured_lateness = max(late, self._measured_lateness * LATENESS_DECAY)
+            self._next_measurement = self.now() + LAG_MEASUREMENT_INTERVAL_S
+            await asyncio.sleep(LAG_MEASUREMENT_INTERVAL_S)
+            lag = self.now() - self._next_measurement
+            self._measured_lag = max(lag, self._measured_lag * LAG_DECAY)
 
     async def start(self):
         for backend in self.backends:
