--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -19,7 +19,7 @@
   const auto number = protocol::parse_number(setting.value);
   if (!number) SettingsReader::throw_mismatch(setting, "a number");
   if (*number < range.minimum || *number > range.maximum)
-    SettingsReader::throw_mismatch(setting, "a number in the allowed range");
+    SettingsReader::throw_mismatch(setting, "a number in its range");
   return *number;
 }
 
--- a/src/config/settings_reader.hpp
+++ b/src/config/settings_reader.hpp
@@ -42,7 +42,7 @@
     for (const auto& [word, value] : words) {
       if (chosen == word) return value;
     }
-    throw_mismatch({key, chosen}, "a known value");
+    throw_mismatch({key, chosen}, "a word known here");
   }
 
   // Throws the ConfigError for a setting whose value is not what is expected.
--- a/src/config/site_settings.cpp
+++ b/src/config/site_settings.cpp
@@ -105,8 +105,7 @@
   config.retry_budget_window = reader.duration(kWindowKey);
   const bool has_retry_budget = config.retry_budget_ratio > 0 || config.retry_budget_minimum > 0;
   if (has_retry_budget && config.retry_budget_window <= 0)
-    SettingsReader::throw_mismatch({kWindowKey, reader.text(kWindowKey)},
-                                   "a positive duration, which a retry budget requires");
+    SettingsReader::throw_mismatch({kWindowKey, reader.text(kWindowKey)}, "a time above 0, with a budget");
 }
 
 // The balancer does not use these settings, which weight unserved seconds, but invalid values are rejected.
