--- a/src/admin/admin_connection.cpp
+++ b/src/admin/admin_connection.cpp
@@ -13,7 +13,6 @@
 using protocol::HttpStatus;
 
 constexpr std::size_t kMaxLoggedPathLength = 80;  // only scanners send longer paths
-constexpr Micros kMicrosInMillisecond = 1000;
 
 std::string or_dash(const std::string& text) { return text.empty() ? "-" : text; }
 
@@ -78,7 +77,7 @@
   event_loop_.log().write(net::Topic::connection, "admin={} {} result={} duration_ms={}",
                           or_dash(request_.method()),
                           or_dash(request_.path().substr(0, kMaxLoggedPathLength)), result,
-                          (event_loop_.now() - started_at_) / kMicrosInMillisecond);
+                          (event_loop_.now() - started_at_) / kMillisecond);
 }
 
 }  // namespace cherryrail::admin
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -40,7 +40,7 @@
                       });
 }
 
-// Otherwise, operators that never complete their requests would hold all connections and block further
+// Without eviction, operators that never complete their requests would hold all connections and block further
 // requests.
 void AdminServer::evict_if_full() {
   std::erase_if(connections_, [](const auto& connection) { return connection->is_closed(); });
--- a/src/admin/hot_restart_coordinator.cpp
+++ b/src/admin/hot_restart_coordinator.cpp
@@ -15,12 +15,13 @@
 namespace cherryrail::admin {
 namespace {
 
-// A handover may become possible once a line is complete or a descriptor is free. Short compared to clients'
-// timeouts.
+// How often this process tries again to send or receive a handover, which may become possible once a line is
+// complete or a descriptor is free. Short compared to clients' timeouts.
 constexpr Micros kRetryInterval = 20'000;
 // Limited so that a predecessor with thousands of sessions does not block the event loop for clients.
 constexpr int kMaxMessagesPerEvent = 64;
-// Some 90 KB: earlier builds can receive 128 KB, and the socket's limit is higher.
+// A message with this many backends has some 90 KB: earlier builds can receive 128 KB, and the socket's limit
+// is higher.
 constexpr std::size_t kBackendsPerMessage = 1000;
 // The delay until this process notices descriptors that its peer has opened.
 constexpr Micros kPeerCountInterval = 100'000;
@@ -171,8 +172,9 @@
   return SendResult::sent;
 }
 
-// Migrates the sessions that cannot be handed over, as without a successor: those whose line is incomplete
-// until `deadline`, and all remaining ones if the successor dies.
+// Hands over the state and the sessions. What cannot be handed over yet, such as a session whose line is
+// incomplete, is tried again until `deadline`. The sessions left then are migrated, as without a successor;
+// so are all remaining ones if the successor dies and no other process has taken its place.
 void HotRestartCoordinator::hand_over_until(Micros deadline) {
   const SendResult state_result = hand_over_state();
   bool is_successor_gone = state_result == SendResult::peer_gone;
--- a/src/admin/hot_restart_socket.cpp
+++ b/src/admin/hot_restart_socket.cpp
@@ -81,7 +81,8 @@
   net::FileDescriptor socket(accept4(listening_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!socket) return std::nullopt;
   HandoverChannel channel(std::move(socket));
-  // Otherwise any user who can write to the folder could hand over connections.
+  // A peer of another user is refused: otherwise any user who can write to the folder could hand over
+  // connections.
   if (!channel.peer_process()) return std::nullopt;
   return channel;
 }
--- a/src/proxy/backend_connection.cpp
+++ b/src/proxy/backend_connection.cpp
@@ -227,7 +227,7 @@
   const std::uint64_t backend = session_->backend ? session_->backend->name : 0;
   event_loop_.log().write(net::Topic::connection, "attempt={} session={} backend={} result={} duration_ms={}",
                           number_, session_->id(), backend, to_string(result),
-                          (event_loop_.now() - started_at_) / 1000);
+                          (event_loop_.now() - started_at_) / kMillisecond);
 }
 
 // ---- Hot restart ----------------------------------------------------------------------------------------
--- a/src/proxy/backend_connection.hpp
+++ b/src/proxy/backend_connection.hpp
@@ -60,7 +60,7 @@
   bool has_sent_request() const override;
   void abandon() override;
   void reset() override;
-  void set_reading(bool wanted) override;
+  void set_reading(bool is_enabled) override;
   std::optional<int> transferable_descriptor() const override;
   void release_to_successor() override;
 
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -158,7 +158,7 @@
   if (std::exchange(is_closed_, true)) return;
   const std::string_view id = session_ ? session_->id() : std::string_view("-");
   event_loop_.log().write(net::Topic::connection, "downstream={} session={} result={} duration_ms={}",
-                          number_, id, to_string(result), (event_loop_.now() - connected_at_) / 1000);
+                          number_, id, to_string(result), (event_loop_.now() - connected_at_) / kMillisecond);
   if (session_) session_->set_downstream(nullptr);
   owner_.on_closed(number_, result);
 }
--- a/src/proxy/descriptor_budget.cpp
+++ b/src/proxy/descriptor_budget.cpp
@@ -9,7 +9,8 @@
 // loop itself.
 constexpr std::size_t kDefaultReserve = 24;
 
-// With the full default reserve, the smallest limit would leave no descriptor for clients.
+// The reserve is at most five eighths of the limit: the full default reserve would exceed the smallest limit
+// that the configuration allows and leave no descriptor for clients.
 std::size_t max_reserve(std::size_t limit) { return 5 * limit / 8; }
 
 }  // namespace
--- a/src/proxy/discovery_watch.cpp
+++ b/src/proxy/discovery_watch.cpp
@@ -14,11 +14,13 @@
 // A heartbeat that is late by half its interval is considered lost.
 constexpr Micros kSilenceTimeout = 3 * kHeartbeatInterval / 2;
 constexpr Micros kConnectTimeout = kHeartbeatInterval / 2;
-// The relay is expected to know every change this long after the last line of a watch that has missed it.
+// If a watch misses a change, the relay has to learn of the change from a new watch within this time after
+// the last line of the old one.
 constexpr Micros kMaxListStaleness = 3 * kHeartbeatInterval;
 // The part of kMaxListStaleness that a new watch needs to connect and to receive its first line.
 constexpr Micros kReconnectTime = kHeartbeatInterval / 2;
-// Discovery is not asked more often than this, even after kMaxListStaleness has passed.
+// The shortest `retry_within` passed to the owner, even after kMaxListStaleness has passed, so that discovery
+// is not asked too often.
 constexpr Micros kMinRetryInterval = kHeartbeatInterval / 10;
 // Enough for some hundred thousand backends; a longer line is taken for one that never ends.
 constexpr std::size_t kMaxLineBytes = std::size_t{16} << 20;
--- a/src/proxy/proxy_server.cpp
+++ b/src/proxy/proxy_server.cpp
@@ -7,7 +7,6 @@
 namespace cherryrail::proxy {
 namespace {
 
-constexpr Micros kSecond = 1'000'000;
 // How long a successor that knows backends from its configuration waits for a current endpoint list.
 constexpr Micros kSuccessorListTimeout = kSecond;
 // First line timeout of a discovery server that all relays share: the server answers requests one by one.
@@ -172,9 +171,9 @@
   }
 }
 
-void ProxyServer::start_attempt(Session& session, Backend& backend, Micros time_limit) {
+void ProxyServer::start_attempt(Session& session, Backend& backend, Micros timeout) {
   upstream_.start_attempt(std::static_pointer_cast<ProxySession>(session.shared_from_this()),
-                          as_proxy_backend(backend).address, time_limit,
+                          as_proxy_backend(backend).address, timeout,
                           RetryPolicy::connect_timeout_factor(session));
 }
 
@@ -192,8 +191,8 @@
 
 void ProxyServer::check_health(Backend& backend) {
   const auto target = std::static_pointer_cast<ProxyBackend>(backend.shared_from_this());
-  // While clients hold all other descriptors, health checks would use up the last ones, and a check without a
-  // descriptor would count as a failure of its backend. A skipped check is reported as rejected instead.
+  // While clients hold all other descriptors, health checks must not use up the last ones. A skipped check is
+  // reported as rejected, as is a check that finds no descriptor: neither is a failure of the backend.
   if (!descriptors_.allows_use_of_reserve()) {
     event_loop_.post([this, target] {
       balancer_.on_health_check_ended(*target, {AttemptResult::rejected, 0}, {});
@@ -269,13 +268,13 @@
     import_state(std::move(*state));
     return;
   }
-  net::SocketPtr client = net::adopt_socket(handover.downstream.release());
+  net::SocketPtr downstream = net::adopt_socket(handover.downstream.release());
   if (const auto* pending = std::get_if<PendingClient>(&handover.message)) {
-    downstream_->add_pending_client(std::move(client), pending->received, pending->waited);
+    downstream_->add_pending_client(std::move(downstream), pending->received, pending->waited);
     return;
   }
-  net::SocketPtr server = net::adopt_socket(handover.upstream.release());
-  resume_session(std::get<OpenSession>(handover.message), std::move(client), std::move(server));
+  net::SocketPtr upstream = net::adopt_socket(handover.upstream.release());
+  resume_session(std::get<OpenSession>(handover.message), std::move(downstream), std::move(upstream));
 }
 
 // Each process counts its times from its clock origin, read from the wall clock at its start. The wall clock
@@ -285,7 +284,8 @@
   balancer_.import_state(state);
 }
 
-void ProxyServer::resume_session(const OpenSession& handover, net::SocketPtr client, net::SocketPtr server) {
+void ProxyServer::resume_session(const OpenSession& handover, net::SocketPtr downstream,
+                                 net::SocketPtr upstream) {
   const auto session =
       std::make_shared<ProxySession>(event_loop_, balancer_, invariants_, handover.open_request);
   if (const auto fault = request_reader_.read(*session, event_loop_.now())) {
@@ -295,8 +295,8 @@
   }
   session_ids_.add(session->id(), session, event_loop_.now());
   const auto backend = endpoints_.find_or_add_gone(handover.backend);
-  downstream_->add_established_client(std::move(client), session);
-  upstream_.add_established(session, std::move(server));
+  downstream_->add_established_client(std::move(downstream), session);
+  upstream_.add_established(session, std::move(upstream));
   session->resume(backend, handover.waited);
 }
 
--- a/src/proxy/proxy_server.hpp
+++ b/src/proxy/proxy_server.hpp
@@ -75,7 +75,7 @@
   // BalancerActions
   Micros now() const override { return event_loop_.now(); }
   Micros wall_clock_step() const override { return event_loop_.wall_clock_step(); }
-  void start_attempt(Session& session, Backend& backend, Micros time_limit) override;
+  void start_attempt(Session& session, Backend& backend, Micros timeout) override;
   void cancel_attempt(Session& session) override;
   void reject_session(Session& session, Micros retry_after) override;
   void fail_session(Session& session) override;
@@ -94,7 +94,7 @@
   void on_session_requested(const std::shared_ptr<ProxySession>& session);
   void admit(const std::shared_ptr<ProxySession>& session);
   void import_state(StateSnapshot state);
-  void resume_session(const OpenSession& handover, net::SocketPtr client, net::SocketPtr server);
+  void resume_session(const OpenSession& handover, net::SocketPtr downstream, net::SocketPtr upstream);
 
   net::EventLoop& event_loop_;
   const config::SiteSettings settings_;
--- a/src/proxy/proxy_session.cpp
+++ b/src/proxy/proxy_session.cpp
@@ -161,7 +161,8 @@
 }
 
 void ProxySession::reject(Micros retry_after) {
-  const Micros milliseconds = (retry_after + 999) / 1000;  // rounded up: never earlier than requested
+  // Rounded up, so that the client never retries earlier than requested.
+  const Micros milliseconds = (retry_after + (kMillisecond - 1)) / kMillisecond;
   const std::string line = retry_after > 0 ? fmt::format("BUSY {}", milliseconds) : "BUSY";
   refuse(line, rejection_result());
 }
--- a/src/proxy/session_id_registry.cpp
+++ b/src/proxy/session_id_registry.cpp
@@ -3,7 +3,8 @@
 namespace cherryrail::proxy {
 namespace {
 
-// The minimum time for which an id stays registered.
+// The minimum time for which an id stays registered. It is also the interval at which an id is checked: it is
+// removed at the first check after its session has ended.
 constexpr Micros kRetention = 5'000'000;
 
 }  // namespace
--- a/src/proxy/session_id_registry.hpp
+++ b/src/proxy/session_id_registry.hpp
@@ -14,8 +14,8 @@
 namespace cherryrail::proxy {
 
 // A backend refuses a second session with the id of an open one, and each refusal would be recorded as a
-// failure of a healthy backend. Clients use a new id for every connection, so ids stay reserved for some
-// seconds after their session ends, too.
+// failure of a healthy backend. Clients use a new id for every connection, so an id may stay registered
+// for some seconds after its session has ended.
 class SessionIdRegistry {
  public:
   // Registers the id for the session. Returns false if the id is already registered, for another session.
--- a/src/proxy/shutdown_sequence.cpp
+++ b/src/proxy/shutdown_sequence.cpp
@@ -6,7 +6,6 @@
 namespace cherryrail::proxy {
 namespace {
 
-constexpr Micros kSecond = 1'000'000;
 // How long clients still arrive after the shutdown began, until the platform has noticed it.
 constexpr Micros kClientArrivalPeriod = 45 * kSecond / 100;
 // The longest time that the platform grants for clients' requests to be answered, whatever their timeouts.
