--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -72,12 +72,12 @@
   return reported_started_at > 0 && reported_started_at != backend.reported_started_at && contains(backend);
 }
 
-void Fleet::record_endpoint(const std::shared_ptr<Backend>& backend, EndpointState state, double size,
-                            const BackendStart& start, Micros now) {
+void Fleet::record_endpoint(const std::shared_ptr<Backend>& backend, EndpointState state,
+                            double relative_capacity, const BackendStart& start, Micros now) {
   const bool is_known = contains(*backend);
   if (!is_known && state != EndpointState::gone) backends_.push_back(backend);
   backend->name_hash = mix_hash(backend->name + kNameSalt);
-  backend->size = size > 0 ? size : 0;
+  backend->relative_capacity = relative_capacity > 0 ? relative_capacity : 0;
   backend->reported_state = state;
   if (!is_known && backend->disabled_by_operator) backend->disabled_at = now;
   if (is_known && start.reported == backend->reported_started_at) return;
--- a/src/balancer/fleet.hpp
+++ b/src/balancer/fleet.hpp
@@ -52,7 +52,7 @@
   // Whether discovery reports a new start time for a known backend.
   bool has_restarted(const Backend& backend, Micros reported_started_at) const;
   // Updates a backend with what discovery reports, and adds it if it is new.
-  void record_endpoint(const std::shared_ptr<Backend>& backend, EndpointState state, double size,
+  void record_endpoint(const std::shared_ptr<Backend>& backend, EndpointState state, double relative_capacity,
                        const BackendStart& start, Micros now);
   void erase_if_gone(const std::shared_ptr<Backend>& backend);
 
--- a/src/balancer/fleet_load.cpp
+++ b/src/balancer/fleet_load.cpp
@@ -6,13 +6,13 @@
 
 struct FleetLoadMeter::Sums {
   double load = 0;
-  double size = 0;              // of all backends in service, including those with a latency penalty
-  ZoneCapacity capacity;        // of the same backends, times their slow-start factors
-  double reporting = 0;         // number of backends that have reported their utilization
-  double utilization = 0;       // sum over these
-  double known = 0;             // number of backends about whose load this relay has information
-  double overloaded = 0;        // number of these that were overloaded recently
-  double current_capacity = 0;  // of the overloaded ones
+  double relative_capacity = 0;  // of all backends in service, including those with a latency penalty
+  ZoneCapacity capacity;         // of the same backends, times their slow-start factors
+  double reporting = 0;          // number of backends that have reported their utilization
+  double utilization = 0;        // sum over these
+  double known = 0;              // number of backends about whose load this relay has information
+  double overloaded = 0;         // number of these that were overloaded recently
+  double current_capacity = 0;   // of the overloaded ones
   double load_at_overload = 0;
 };
 
@@ -25,7 +25,7 @@
   load.new_session_rate = arrivals_.new_session_rate(actions_.now(), parameters_.overload_window);
   load.is_most_overloaded = capacity_.are_most_overloaded(sums.known, sums.overloaded);
   load.capacity_left = sums.load_at_overload > 0 ? sums.current_capacity / sums.load_at_overload : 1;
-  load.mean_size = sums.size > 0 ? sums.size / ready : 1;
+  load.mean_relative_capacity = sums.relative_capacity > 0 ? sums.relative_capacity / ready : 1;
   load.sessions_per_backend /= ready;
   if (sums.reporting > 0) {
     load.mean_utilization = std::clamp(sums.utilization / sums.reporting, kLowUtilization, kFullUtilization);
@@ -38,17 +38,17 @@
 }
 
 void FleetLoadMeter::add(const Backend& backend, FleetLoad& load, Sums& sums) const {
-  if (backend.state != EndpointState::gone) load.listed_capacity += backend.size;
+  if (backend.state != EndpointState::gone) load.listed_capacity += backend.relative_capacity;
   if (backend.state != EndpointState::ready || backend.outlier.is_ejected()) return;
   if (zones_seen_.size() <= backend.zone) zones_seen_.resize(backend.zone + 1);
   if (!zones_seen_[backend.zone]) ++sums.capacity.zones;
   zones_seen_[backend.zone] = true;
   if (backend.reported_utilization > 0) ++sums.reporting;
   sums.utilization += backend.reported_utilization;
-  const double capacity = backend.size * slow_start_.factor(backend);
+  const double capacity = backend.relative_capacity * slow_start_.factor(backend);
   if (backend.zone == parameters_.zone) sums.capacity.local += capacity;
   sums.capacity.total += capacity;
-  sums.size += backend.size;
+  sums.relative_capacity += backend.relative_capacity;
   // Backends with a latency penalty are left out. Otherwise, where only a few backends have none, these would
   // seem full and no session would move to them.
   if (penalties_.latency(backend) > 0) return;
--- a/src/balancer/load_figures.hpp
+++ b/src/balancer/load_figures.hpp
@@ -15,10 +15,10 @@
 
 // Unless noted otherwise, over the ready backends that are neither ejected nor have a latency penalty.
 struct FleetLoad {
-  double new_session_rate = 0;  // per microsecond, long-term average
-  double ready_count = 0;       // number of backends
-  double ready_capacity = 0;    // sum of their sizes times their slow-start factors
-  double mean_size = 0;         // including those with a latency penalty
+  double new_session_rate = 0;        // per microsecond, long-term average
+  double ready_count = 0;             // number of backends
+  double ready_capacity = 0;          // sum of their sizes times their slow-start factors
+  double mean_relative_capacity = 0;  // including those with a latency penalty
   double sessions_per_backend = 0;
   double load_per_capacity = 0;  // load held per unit of capacity
   double local_zone_weight = 1;  // rendezvous weight of a backend in this relay's own zone
--- a/src/balancer/placement.cpp
+++ b/src/balancer/placement.cpp
@@ -67,7 +67,8 @@
 }
 
 bool Placement::is_over_cap(const Backend& backend, double factor) const {
-  const double cap = factor * fleet_load_.load_per_capacity * backend.size * slow_start_.factor(backend);
+  const double cap =
+      factor * fleet_load_.load_per_capacity * backend.relative_capacity * slow_start_.factor(backend);
   return backend.sessions.load() >= std::max(cap, kMinCapSessions * fleet_.mean_session_load());
 }
 
@@ -81,11 +82,13 @@
   double best_rank = 0;
   for (const auto& backend : fleet_.backends()) {
     if (backend->state != EndpointState::ready) continue;
-    const double size = backend->size > 0 ? backend->size : fleet_load_.mean_size * 0.01;
+    const double relative_capacity = backend->relative_capacity > 0
+                                         ? backend->relative_capacity
+                                         : fleet_load_.mean_relative_capacity * 0.01;
     const double zone_weight = backend->zone == parameters_.zone ? fleet_load_.local_zone_weight : 1;
     RendezvousScore& score = backend->score;
     score.draw = uniform_draw(session.hash_key, backend->name_hash);
-    score.weight = size * slow_start_.factor(*backend) * zone_weight;
+    score.weight = relative_capacity * slow_start_.factor(*backend) * zone_weight;
     const bool is_first = session.preferred_backend == nullptr;
     if (!is_first && score.rank_lower_bound() >= best_rank) continue;
     const double rank = score.rank();
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -50,7 +50,7 @@
   const double from_held_sessions = planned_load_factor() * static_cast<double>(fleet_.session_count() + 1);
   const double new_sessions = kPlannedLoadRatio * parameters_.overload_factor * fleet_load.new_session_rate;
   const double from_new_sessions = new_sessions * static_cast<double>(parameters_.overload_window);
-  const double capacity_share = factor(backend) * backend.size / fleet_capacity;
+  const double capacity_share = factor(backend) * backend.relative_capacity / fleet_capacity;
   const double budget = capacity_share * relays * std::max(from_held_sessions, from_new_sessions);
   const auto slots = static_cast<std::int64_t>(std::clamp(budget, 1.0, relays));
   if ((parameters_.relay_index + slot * slots) % parameters_.relay_count >= slots) return false;
--- a/src/proxy/endpoint_registry.cpp
+++ b/src/proxy/endpoint_registry.cpp
@@ -54,7 +54,8 @@
 void EndpointRegistry::remove_unlisted(const std::set<std::string_view>& listed) {
   for (const auto& [uid, backend] : backends_) {
     if (listed.contains(uid)) continue;
-    balancer_.update_endpoint(backend, EndpointState::gone, backend->size, backend->reported_started_at);
+    balancer_.update_endpoint(backend, EndpointState::gone, backend->relative_capacity,
+                              backend->reported_started_at);
   }
 }
 
--- a/src/simulator/balancer_instance.cpp
+++ b/src/simulator/balancer_instance.cpp
@@ -110,7 +110,8 @@
   for (const EndpointRecord& endpoint : endpoints) listed.insert(endpoint.backend_id);
   for (const auto& [id, backend] : backends_) {
     if (listed.contains(id)) continue;
-    balancer_.update_endpoint(backend, EndpointState::gone, backend->size, backend->slow_start.started_at());
+    balancer_.update_endpoint(backend, EndpointState::gone, backend->relative_capacity,
+                              backend->slow_start.started_at());
   }
 }
 
