--- a/src/balancer/backend.hpp
+++ b/src/balancer/backend.hpp
@@ -36,7 +36,7 @@
   // Set by the balancer, from discovery and operators' actions.
   EndpointState state = EndpointState::ready;  // effective state: a disabled backend is draining
   EndpointState reported_state = EndpointState::ready;
-  double relative_capacity = 1;     // capacity relative to other backends
+  double relative_capacity = 1;     // compared with other backends; no unit
   double reported_utilization = 0;  // from the latest load report; 0: none yet
   Micros reported_started_at = 0;
   Micros disabled_at = 0;
--- a/src/balancer/balancer.hpp
+++ b/src/balancer/balancer.hpp
@@ -107,6 +107,8 @@
   // Resets the failure state of a backend that has restarted, since it no longer applies.
   void reset_failure_state(Backend& backend);
   void place(Session& session);
+  // Whether more than one answer margin is left for an attempt. RetryPolicy::attempt_timeout() reserves two
+  // further margins for the answer.
   bool has_time_for_attempt(const Session& session) const;
   void place_at_pinned_backend(Session& session);
   // An attempt that cannot have reached the backend does not count towards `max_attempts`.
--- a/src/balancer/latency_status.hpp
+++ b/src/balancer/latency_status.hpp
@@ -15,12 +15,16 @@
   // 0 while it is not active.
   Micros latency(Micros now) const { return is_active(now) ? latency_ : 0; }
   // Whether the penalty ended so recently that a new one counts as a relapse.
-  bool ended_recently(Micros now) const { return duration_ > 0 && now - until_ < 4 * duration_; }
+  bool ended_recently(Micros now) const {
+    return duration_ > 0 && now - until_ < kRelapsePeriodFactor * duration_;
+  }
   // Imposes this latency from now on. The duration doubles with each relapse, up to a maximum.
   void impose(Micros latency, Micros now);
   void end(Micros now) { until_ = std::min(until_, now); }
 
  private:
+  static constexpr Micros kRelapsePeriodFactor = 4;  // times the duration of the penalty that ended
+
   Micros latency_ = 0;
   Micros until_ = 0;
   Micros duration_ = 0;
--- a/src/balancer/load_figures.hpp
+++ b/src/balancer/load_figures.hpp
@@ -15,15 +15,18 @@
 
 // Unless noted otherwise, over the ready backends that are neither ejected nor have a latency penalty.
 struct FleetLoad {
-  double new_session_rate = 0;        // per microsecond, long-term average
-  double ready_count = 0;             // number of backends
-  double ready_capacity = 0;          // sum of their sizes times their slow-start factors
-  double mean_relative_capacity = 0;  // including those with a latency penalty
+  double new_session_rate = 0;  // per microsecond, long-term average
+  double ready_count = 0;       // number of backends
+  double ready_capacity = 0;    // sum of their relative capacities times their slow-start factors
+  // Summed also over backends with a latency penalty, but divided by ready_count, which leaves them out.
+  double mean_relative_capacity = 0;
   double sessions_per_backend = 0;
   double load_per_capacity = 0;  // load held per unit of capacity
   double local_zone_weight = 1;  // rendezvous weight of a backend in this relay's own zone
-  double listed_capacity = 0;    // sum of the sizes of all backends that are not gone
-  double mean_utilization = 1;   // of the backends that reported one
+  double listed_capacity = 0;    // sum of the relative capacities of all backends that are not gone
+  // Of the backends that reported one, clamped to kLowUtilization..kFullUtilization; kFullUtilization without
+  // any report.
+  double mean_utilization = 1;
   // Of the load that recently overloaded backends held, the share that their limits allow now.
   double capacity_left = 1;
   bool is_any_overloaded = false;
--- a/src/balancer/migration_pool.cpp
+++ b/src/balancer/migration_pool.cpp
@@ -8,12 +8,14 @@
 
 std::size_t MigrationPool::pool_size() const {
   const std::size_t sessions = fleet_.settled_count();
-  return std::max<std::size_t>(1, std::min(sessions / 2, std::max<std::size_t>(10, sessions / 3)));
+  return std::max<std::size_t>(
+      1, std::min(sessions / kMinSessionsPerMigration,
+                  std::max<std::size_t>(kSmallPoolSize, sessions / kSessionsPerMigration)));
 }
 
 std::size_t MigrationPool::queue_limit() const {
   const std::size_t sessions = std::max<std::size_t>(1, fleet_.settled_count());
-  return std::min(std::max(20 * pool_size(), sessions), 5 * sessions);
+  return std::min(std::max(kQueuedPerMigration * pool_size(), sessions), kMaxQueuedPerSession * sessions);
 }
 
 void MigrationPool::migrate_all(Backend& backend, const char* reason) {
@@ -101,7 +103,7 @@
 
 void MigrationPool::schedule_run() {
   if (std::exchange(is_run_scheduled_, true)) return;
-  actions_.call_at(actions_.now() + parameters_.shortest_attempt_objective / 2, [this] {
+  actions_.call_at(actions_.now() + parameters_.shortest_attempt_objective / kRunsPerObjective, [this] {
     is_run_scheduled_ = false;
     run();
   });
--- a/src/balancer/migration_pool.hpp
+++ b/src/balancer/migration_pool.hpp
@@ -40,7 +40,21 @@
   // How long a session waits for space in a full queue before it migrates outside the pool.
   static constexpr Micros kQueueFullTimeout = kSecond / 10;
 
+  // One migration may run for this many established sessions, but kSmallPoolSize may run in any case, unless
+  // that leaves fewer than kMinSessionsPerMigration sessions for each.
+  static constexpr std::size_t kSessionsPerMigration = 3;
+  static constexpr std::size_t kSmallPoolSize = 10;
+  static constexpr std::size_t kMinSessionsPerMigration = 2;
+  // The queue holds this many sessions per concurrent migration, or all established sessions if these are
+  // more, but at most kMaxQueuedPerSession for each established session.
+  static constexpr std::size_t kQueuedPerMigration = 20;
+  static constexpr std::size_t kMaxQueuedPerSession = 5;
+  // Queued sessions that must wait are considered again this often within the shortest attempt objective.
+  static constexpr Micros kRunsPerObjective = 2;
+
+  // The number of migrations that may run at the same time.
   std::size_t pool_size() const;
+  // The number of sessions that the queue may hold.
   std::size_t queue_limit() const;
   // Whether the session stays queued because no better backend would accept it now. A client that reconnects
   // then is rejected, while a draining backend still serves it.
--- a/src/balancer/outlier_detector.cpp
+++ b/src/balancer/outlier_detector.cpp
@@ -28,9 +28,11 @@
 
 double OutlierDetector::peer_failure_rate(const Backend& backend) const {
   const Micros now = actions_.now();
-  const double failed = 0.04 + std::max(0.0, failures_.sum(now) - backend.outlier.failures_.sum(now));
-  const double total = 2 + failed + std::max(0.0, successes_.sum(now) - backend.outlier.successes_.sum(now));
-  return std::clamp(failed / total, 0.02, 0.95 * kOutlierFailureRate);
+  const double failed =
+      kPriorFailures + std::max(0.0, failures_.sum(now) - backend.outlier.failures_.sum(now));
+  const double total =
+      kPriorSuccesses + failed + std::max(0.0, successes_.sum(now) - backend.outlier.successes_.sum(now));
+  return std::clamp(failed / total, kMinPeerFailureRate, kMaxPeerFailureRate);
 }
 
 void OutlierDetector::record_recovery_outcome(Backend& backend, bool is_success) {
--- a/src/balancer/outlier_detector.hpp
+++ b/src/balancer/outlier_detector.hpp
@@ -28,6 +28,12 @@
 
  private:
   static constexpr double kOutlierFailureRate = 0.9;  // failures per outcome at an outlier
+  // Assumed outcomes of the other backends, added to those seen: a peer failure rate of 2% without any.
+  static constexpr double kPriorFailures = 0.04;
+  static constexpr double kPriorSuccesses = 2;
+  // Bounds of the peer failure rate; below the outliers' rate, so that a failure always raises the odds.
+  static constexpr double kMinPeerFailureRate = 0.02;
+  static constexpr double kMaxPeerFailureRate = 0.95 * kOutlierFailureRate;
   static constexpr double kEjectionLogOdds = 6.5;     // about 1 in 700 to eject a healthy backend
   static constexpr unsigned kSuccessesToRecover = 3;  // in a row
   static constexpr unsigned kNoResponsesToEject = 4;  // in a row
--- a/src/balancer/placement.cpp
+++ b/src/balancer/placement.cpp
@@ -46,9 +46,9 @@
                                backend.reported_utilization < kLowUtilization;
   const bool is_over =
       !session.is_mid_flow && is_over_cap(backend, has_relaxed_cap ? kRelaxedCapFactor : kCapFactor);
-  // Otherwise the load shed by overloaded backends would all go to one that is not overloaded yet, and
-  // overload it in turn. Limited to twice the mean load, it leaves a share to previously overloaded backends
-  // that are under their cap.
+  // During overload no backend over the relaxed cap gets sessions, except those in mid-flow. Without this
+  // limit, all load shed by overloaded backends would go to one that is not overloaded yet, and overload it
+  // in turn. With it, previously overloaded backends under their cap get a share of that load.
   if (is_over && fleet_load_.is_any_overloaded && is_over_cap(backend, kRelaxedCapFactor)) return {};
   if (!fits && (is_over || is_capacity_strict() || capacity_.was_reduced_recently(backend))) {
     ++session.passed_over_at_capacity;
@@ -84,7 +84,7 @@
     if (backend->state != EndpointState::ready) continue;
     const double relative_capacity = backend->relative_capacity > 0
                                          ? backend->relative_capacity
-                                         : fleet_load_.mean_relative_capacity * 0.01;
+                                         : fleet_load_.mean_relative_capacity * kZeroCapacityWeight;
     const double zone_weight = backend->zone == parameters_.zone ? fleet_load_.local_zone_weight : 1;
     RendezvousScore& score = backend->score;
     score.draw = uniform_draw(session.hash_key, backend->name_hash);
--- a/src/balancer/placement.hpp
+++ b/src/balancer/placement.hpp
@@ -48,6 +48,8 @@
   static constexpr double kRelaxedCapFactor = 2;
   static constexpr double kMinCapSessions = 2;          // lowest cap, in sessions of mean load
   static constexpr double kMinBackendsForOverflow = 3;  // fewer cannot take over the load of a full one
+  // Rank weight of a backend listed with capacity 0, relative to one of mean capacity.
+  static constexpr double kZeroCapacityWeight = 0.01;
   // Extra capacity, in sessions, that the first session of a group must find free. A group costs a backend
   // more than its members do, so a backend that is short of capacity should rarely accept a new group.
   static constexpr double kNewGroupCost = 11;
--- a/src/balancer/session_set.hpp
+++ b/src/balancer/session_set.hpp
@@ -41,7 +41,7 @@
   std::vector<Session*> sessions_;
   double load_ = 0;
   std::map<std::uint64_t, unsigned> by_group_;
-  SlidingWindow recently_added_load_{kMaxReportAge / 8};
+  SlidingWindow recently_added_load_{kMaxReportAge / 8};  // covers kMaxReportAge with its 8 buckets
 };
 
 }  // namespace cherryrail
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -31,7 +31,8 @@
                                        const FleetLoad& fleet_load) const {
   const Micros now = actions_.now();
   if (session.preferred_backend != &backend || now < slots_from_) return false;
-  const double fleet_capacity = std::max(fleet_load.listed_capacity * fleet_load.mean_utilization, 1e-9);
+  const double fleet_capacity =
+      std::max(fleet_load.listed_capacity * fleet_load.mean_utilization, kMinFleetCapacity);
   if (!session.is_reconnecting)
     return kPlannedLoadRatio * parameters_.overload_factor * fleet_load.ready_capacity >= fleet_capacity;
   const double sustainable_sessions = planned_load_factor() * static_cast<double>(fleet_.session_count() + 1);
@@ -46,7 +47,8 @@
   // The predecessor of a relay that has just started may have used a slot that began before.
   if (backend.slow_start.started_at_ + slot * parameters_.overload_window < slots_from_) return false;
   const double relays = parameters_.relay_count;
-  const double fleet_capacity = std::max(fleet_load.listed_capacity * fleet_load.mean_utilization, 1e-9);
+  const double fleet_capacity =
+      std::max(fleet_load.listed_capacity * fleet_load.mean_utilization, kMinFleetCapacity);
   const double from_held_sessions = planned_load_factor() * static_cast<double>(fleet_.session_count() + 1);
   const double new_sessions = kPlannedLoadRatio * parameters_.overload_factor * fleet_load.new_session_rate;
   const double from_new_sessions = new_sessions * static_cast<double>(parameters_.overload_window);
@@ -67,6 +69,6 @@
   return std::max<Micros>(0, actions_.now() - backend.slow_start.started_at_) / parameters_.overload_window;
 }
 
-void SlowStart::give_up_slots() { slots_from_ = std::numeric_limits<Micros>::max(); }
+void SlowStart::release_slots() { slots_from_ = std::numeric_limits<Micros>::max(); }
 
 }  // namespace cherryrail
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -37,14 +37,15 @@
   // share of its current capacity.
   double planned_load_factor() const;
 
-  // Stops using admission slots: from now on they belong to this relay's successor.
-  void give_up_slots();
+  // From now on may_admit() allows no session to a backend that is warming up; only the successor's does.
+  void release_slots();
   void save(StateSnapshot& snapshot) const { snapshot.admission_slots_from = slots_from_; }
   void restore(const StateSnapshot& snapshot);
 
  private:
   // Share of the overload factor up to which load is planned; planning all of it overloaded backends.
   static constexpr double kPlannedLoadRatio = 0.67;
+  static constexpr double kMinFleetCapacity = 1e-9;  // avoids a division by zero
 
   std::int64_t slot_number(const Backend& backend) const;
   // Admits as many reconnecting sessions as the backend could hold if it held nothing else. Admits either all
--- a/src/balancer/state_snapshot.cpp
+++ b/src/balancer/state_snapshot.cpp
@@ -62,7 +62,7 @@
     backend->capacity.save(saved);
     backend->outlier.save(saved);
   }
-  slow_start_.give_up_slots();
+  slow_start_.release_slots();
   retry_policy_.release_budget();
   health_checks_.stop();
   return snapshot;
--- a/src/balancer/state_snapshot.hpp
+++ b/src/balancer/state_snapshot.hpp
@@ -34,7 +34,8 @@
   double health_check_tokens = 0;
   double recent_retries = 0;  // within the retry budget's last window
   std::vector<BackendSnapshot> backends;
-  Micros clock_origin = 0;  // Unix time at which that clock's steady part was 0; 0: unknown
+  // Unix time at which the steady clock of the process that took the snapshot read 0; 0: unknown.
+  Micros clock_origin = 0;
 };
 
 // Splits the snapshot into parts of at most `max_backends` backends. Importing the parts one after the other
