--- a/src/balancer/migration_pool.hpp
+++ b/src/balancer/migration_pool.hpp
@@ -43,7 +43,7 @@
   // One migration may run for this many established sessions, but kSmallPoolSize may run in any case, unless
   // that leaves fewer than kMinSessionsPerMigration sessions for each.
   static constexpr std::size_t kSessionsPerMigration = 3;
-  static constexpr std::size_t kSmallPoolSize = 10;
+  static constexpr int kSmallPoolSize = 10;
   static constexpr std::size_t kMinSessionsPerMigration = 2;
   // The queue holds this many sessions per concurrent migration, or all established sessions if these are
   // more, but at most kMaxQueuedPerSession for each established session.
