--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,11 @@
-# The tasks of every day; CMakePresets.json says how each build folder is configured.
+# Common development tasks. CMakePresets.json holds the configuration of each build folder.
 CONFIG ?= $(EDGE_CONFIG)
 SOURCES = $(shell git ls-files 'src/*.cpp' 'src/*.hpp' 'tests/*.cpp' 'tests/*.hpp')
 
-# Folders and files that the linter holds to .clang-tidy, as yet; CI runs it over these. The aim is src and tests.
+# Folders and files in which CI enforces .clang-tidy. The goal is all of src and tests.
 LINTED = src tests/support
 
-# The users' bench, where it is at hand.
+# Folder of the customer's benchmark kit, if it is available.
 KIT ?= ../given/kit
 BENCH_FILES = real.json wire.json unlock.txt
 
@@ -15,7 +15,7 @@
 	cmake --preset release
 	cmake --build --preset release
 
-# The README's test command.
+# The test command that the README gives.
 test:
 	cmake --preset tests
 	cmake --build --preset tests
@@ -31,16 +31,16 @@
 	cmake --preset tests
 	tools/lint.py build-tests $(LINTED)
 
-# What the linter finds in any file, also where it is not enforced yet.
+# Lints all files, also those in which .clang-tidy is not enforced yet.
 lint-all:
 	cmake --preset tests
 	tools/lint.py build-tests src tests
 
-# The tests of the tools and of the soak's oracle, and the includes against docs/architecture.md.
+# Tests the tools and the soak test's oracle, and checks the includes against docs/architecture.md.
 check-tools:
 	set -e; for test in tests/tools/*_test.py tests/soak/*_test.py; do python3 $$test; done
 
-# Real relay processes under several troubles at once: make soak SEED=1 COUNT=5.
+# Soak test: runs real relay processes under several faults at once. Usage: make soak SEED=1 COUNT=5.
 SEED ?= 1
 COUNT ?= 1
 soak: build
@@ -51,7 +51,7 @@
 format:
 	clang-format -i $(SOURCES)
 
-# Lays what the bench wants beside our own site files; none of it is kept in the repository.
+# Copies the files that the benchmark needs into deploy/sites; they are not kept in the repository.
 bench-files:
 	cp $(addprefix $(KIT)/more/mass/other/,$(BENCH_FILES)) deploy/sites/
 	chmod u+w $(addprefix deploy/sites/,$(BENCH_FILES))
